--- a/src/gateway/create_rate_limits.ts
+++ b/src/gateway/create_rate_limits.ts
@@ -1,10 +1,11 @@
 /**
- * The rate limits that upstreams name, as a gateway knows them, and its grants of
- * sends under them.
+ * The rate limits that upstreams announce, as known to a gateway, and the grants to
+ * send requests within them.
  *
- * An upstream's limit holds for all gateways together, so each send to one that is
- * limited needs a grant of the leader's (cf. quota servers as Envoy's rate limit quota
- * service or Doorman). A gateway that can't ask keeps to a small part of the limit.
+ * A limit of an upstream applies to all gateways together, so each send to a limited
+ * upstream needs a grant from the leader (cf. quota servers such as Envoy's rate limit
+ * quota service or Doorman). A gateway that can't reach the leader uses only a small
+ * share of the limit.
  *
  * @module
  */
@@ -19,115 +20,115 @@
 import type { Logger } from "../logs/index.ts";
 import type { Metrics } from "../metrics/index.ts";
 
-/** Leave to send one request to an upstream. */
+/** Permission to send one request to an upstream. */
 export interface SendGrant {
-  /** Whether it still holds; asked when a connection is there. */
+  /** Whether the grant is still valid; checked once a connection is open. */
   isValid(): boolean;
-  /** Gives it back: nothing was sent. */
+  /** Returns the grant unused: nothing was sent. */
   giveBack(): void;
 }
 
-/** The rate limits that upstreams name, by their runs. */
+/** The rate limits that upstreams announce, by upstream incarnation. */
 export interface RateLimits {
-  /** Takes what one names in an answer. */
+  /** Applies a limit that an upstream announced in an answer. */
   takeAnswer(engineId: string, answer: LimitAnswer): void;
-  /** Takes limits that the leader tells. */
+  /** Applies limits that the leader sent. */
   takeTold(limits: readonly ToldLimit[]): void;
-  /** Takes all limits that a leader knows; it is told what it doesn't know. */
+  /** Applies all limits of a newly connected leader; those it lacks are reported to it. */
   takeWhole(limits: readonly ToldLimit[]): void;
   takeGrants(message: LeaderMessage & { type: "grants" }): void;
-  /** Requests a second that one takes from all gateways; Infinity if unlimited. */
+  /** Limit, in requests per second from all gateways; Infinity if there is none. */
   getLimitPerS(engineId: string): number;
-  /** Ms until a grant may be had; 0 where one is in hand, or may be asked for now. */
+  /** Ms until a grant may be available; 0 if one is held, or may be requested now. */
   getWaitMs(engineId: string): number;
-  /** Whether a request may be sent, or a grant for one asked for. */
+  /** Whether a grant is held, or may be requested now. */
   hasSendLeft(engineId: string): boolean;
-  /** Takes leave to send a request; undefined where a grant has to be asked for. */
+  /** Takes a grant to send a request; undefined if one has to be requested first. */
   take(engineId: string): SendGrant | undefined;
-  /** Asks the leader for a grant; resolves once it has answered or is given up. */
+  /** Requests a grant from the leader; resolves on its answer or on time-out. */
   request(engineId: string): Promise<void>;
-  /** Limits of which the leader has not been told; they count as told then. */
+  /** Returns the limits not yet reported to the leader, and marks them as reported. */
   takeReports(): readonly LimitReport[];
-  /** Runs of upstreams that are limited. */
+  /** Incarnations of upstreams that are limited. */
   listLimited(): readonly string[];
 }
 
-/** What an upstream names in an answer. */
+/** The limit that an upstream announces in an answer. */
 export interface LimitAnswer {
-  /** Requests a second; Infinity where it names no limit. */
+  /** Requests per second; Infinity if it announces no limit. */
   readonly limitPerS: number;
   /**
-   * When the request was sent that it answers, in ms; absent where the answer may be
-   * older than what is known, or is none to a request.
+   * Send time, in ms, of the answered request; absent if the answer may be older than
+   * the known limit, or does not answer a request.
    */
   readonly sentMs?: number;
 }
 
-/** What the limits need of their program. */
+/** What the limits need from their process. */
 export interface CreateRateLimitsOptions {
-  /** Asks the leader for grants; false where there is no session. */
+  /** Requests grants from the leader; false if there is no session. */
   readonly requestGrants: (counts: GrantCounts, askedMs: number) => boolean;
-  /** Called when the leader has to be told of a limit. */
+  /** Called when a limit has to be reported to the leader. */
   readonly onNews: () => void;
-  /** Gateways among which a limit is divided while the leader can't be asked. */
+  /** Number of gateways that share a limit while the leader can't be reached. */
   readonly getGatewayCount: () => number;
-  /** Monotonic time, in ms, that counts suspensions. */
+  /** Monotonic time, in ms, that includes system suspends. */
   readonly now: () => number;
   readonly log: Logger;
   readonly metrics: Pick<Metrics, "count">;
 }
 
 /**
- * Ms from the request for a grant until it must have been used: a round trip to the
- * leader and a new connection to the upstream.
+ * Time, in ms, from the request of a grant until the grant expires: a round trip to
+ * the leader and a new connection to the upstream.
  */
 const GRANT_MS = 500;
 
-/** Ms for the leader's answer, after which the call goes elsewhere. */
-const ANSWER_TIMEOUT_MS = 100;
+/** Time, in ms, for the leader's answer; after it the call tries another upstream. */
+const LEADER_TIMEOUT_MS = 100;
 
-/** Ms for which a leader that gave no answer isn't asked again. */
-const UNANSWERED_MS = 300;
+/** Time, in ms, without requests to a leader that did not answer. */
+const LEADER_BACK_OFF_MS = 300;
 
-/** Share of a limit that all gateways together use without a leader. */
-const SAFE_SHARE = 0.5;
+/** Share of a limit that all gateways together use without the leader. */
+const LEADERLESS_SHARE = 0.5;
 
-/** Limits that are kept; the oldest are forgotten first. */
+/** Most limits kept; the oldest are dropped first. */
 const MAX_LIMITS = 5_000;
 
 interface Limit {
   readonly limitPerS: number;
-  /** The leader's version of it; absent until it has told one. */
+  /** The leader's version of the limit; absent until the leader sent one. */
   version?: number;
-  /** Since when it is known here, in ms. */
-  readonly knownMs: number;
-  /** Until when each grant in hand may be used, in ms. */
+  /** When the limit became known here, in ms. */
+  readonly knownSinceMs: number;
+  /** Expiry, in ms, of each grant held. */
   grantsUntilMs: number[];
-  /** Time, in ms, before which no grant is to be had. */
+  /** Time, in ms, before which no grant is available. */
   noGrantUntilMs: number;
-  /** What may be sent while the leader can't be asked. */
-  safeBucket?: TokenBucket;
+  /** Sends allowed while the leader can't be reached. */
+  leaderlessBucket?: TokenBucket;
   waiting: (() => void)[];
 }
 
 /**
- * Makes the limits; no upstream is limited at first.
+ * Creates the limits; no upstream is limited at first.
  *
- * @param options - The leader, the time, logs and metrics.
+ * @param options - The leader, the clock, logs and metrics.
  * @returns The limits.
  * @throws Nothing.
  * @example
- * const grant = limits.take(engineId);
+ * const grant = limits.takeGrant(engineId);
  * if (!grant) await limits.request(engineId);
  */
 export function createRateLimits(options: CreateRateLimitsOptions): RateLimits {
   const { now, log, metrics } = options;
   const limits = new Map<string, Limit>();
   const reports = new Map<string, LimitReport>();
-  let asked: Record<string, number> = {};
-  let isAsking = false;
-  const unanswered = new Set<number>();
-  let silentUntilMs = -Infinity;
+  let requestedCounts: Record<string, number> = {};
+  let isRequestScheduled = false;
+  const pendingRequests = new Set<number>();
+  let leaderBackOffUntilMs = -Infinity;
 
   const getLimitPerS = (engineId: string) =>
     limits.get(engineId)?.limitPerS ?? Infinity;
@@ -136,10 +137,13 @@
     const limit = limits.get(engineId);
     if (!limit) return 0;
     if (limit.grantsUntilMs.some((ms) => ms > now())) return 0;
-    return Math.max(0, Math.max(limit.noGrantUntilMs, silentUntilMs) - now());
+    return Math.max(
+      0,
+      Math.max(limit.noGrantUntilMs, leaderBackOffUntilMs) - now(),
+    );
   }
 
-  function put(
+  function setLimit(
     engineId: string,
     { limitPerS, version }: Pick<Limit, "limitPerS" | "version">,
   ): void {
@@ -151,8 +155,14 @@
       noGrantUntilMs: -Infinity,
       waiting: [],
     };
-    const knownMs = now();
-    limits.set(engineId, { ...initial, ...known, limitPerS, version, knownMs });
+    const knownSinceMs = now();
+    limits.set(engineId, {
+      ...initial,
+      ...known,
+      limitPerS,
+      version,
+      knownSinceMs,
+    });
     if (limits.size > MAX_LIMITS) remove(limits.keys().next().value as string);
     if (hasChanged) log("engineLimited", { engineId, limitPerS, version });
   }
@@ -163,28 +173,28 @@
     reports.delete(engineId);
     if (!limit) return;
     log("engineNotLimited", { engineId });
-    wake(limit);
+    wakeWaiters(limit);
   }
 
-  function takeTold(told: readonly ToldLimit[]): void {
-    for (const { engineId, limitPerS, version } of told) {
+  function updateLimits(updates: readonly ToldLimit[]): void {
+    for (const { engineId, limitPerS, version } of updates) {
       if (limitPerS === null) remove(engineId);
-      else put(engineId, { limitPerS, version });
+      else setLimit(engineId, { limitPerS, version });
     }
   }
 
-  function report(news: LimitReport): void {
-    reports.set(news.engineId, news);
+  function report(update: LimitReport): void {
+    reports.set(update.engineId, update);
     options.onNews();
   }
 
-  function wake(limit: Limit): void {
+  function wakeWaiters(limit: Limit): void {
     const { waiting } = limit;
     limit.waiting = [];
     waiting.forEach((onAnswer) => onAnswer());
   }
 
-  function takeInHand(limit: Limit): number | undefined {
+  function takeValidGrant(limit: Limit): number | undefined {
     limit.grantsUntilMs = limit.grantsUntilMs.filter((ms) => ms > now());
     return limit.grantsUntilMs.shift();
   }
@@ -196,43 +206,42 @@
     };
   }
 
-  // Requests of one turn are asked for in one message.
-  function ask(): void {
-    isAsking = false;
-    const counts = asked;
-    asked = {};
+  // Grants requested in the same event loop turn go into one message.
+  function sendRequests(): void {
+    isRequestScheduled = false;
+    const counts = requestedCounts;
+    requestedCounts = {};
     const askedMs = now();
     if (!options.requestGrants(counts, askedMs)) {
-      return Object.keys(counts).forEach(grantSafely);
+      return Object.keys(counts).forEach(grantWithoutLeader);
     }
-    unanswered.add(askedMs);
-    setTimeout(() => giveUp(askedMs, counts), ANSWER_TIMEOUT_MS);
+    pendingRequests.add(askedMs);
+    setTimeout(() => timeOutRequests(askedMs, counts), LEADER_TIMEOUT_MS);
   }
 
-  function giveUp(askedMs: number, counts: GrantCounts): void {
-    if (!unanswered.delete(askedMs)) return;
+  function timeOutRequests(askedMs: number, counts: GrantCounts): void {
+    if (!pendingRequests.delete(askedMs)) return;
     metrics.count("grants.unanswered");
-    silentUntilMs = now() + UNANSWERED_MS;
+    leaderBackOffUntilMs = now() + LEADER_BACK_OFF_MS;
     for (const engineId of Object.keys(counts)) {
       const limit = limits.get(engineId);
-      if (limit) wake(limit);
+      if (limit) wakeWaiters(limit);
     }
   }
 
-  // It begins with nothing in hand: the leader may have granted the whole limit just
-  // before.
-  function grantSafely(engineId: string): void {
+  // The bucket starts empty: the leader may just have granted the whole limit.
+  function grantWithoutLeader(engineId: string): void {
     const limit = limits.get(engineId);
     if (!limit) return;
     const nowMs = now();
-    const ratePerS = SAFE_SHARE * limit.limitPerS /
+    const ratePerS = LEADERLESS_SHARE * limit.limitPerS /
       Math.max(1, options.getGatewayCount());
-    const bucket = limit.safeBucket ?? { tokens: 0, updatedMs: nowMs };
+    const bucket = limit.leaderlessBucket ?? { tokens: 0, updatedMs: nowMs };
     const taken = takeToken(bucket, { nowMs, ratePerS, burst: 1 });
-    limit.safeBucket = taken.bucket;
+    limit.leaderlessBucket = taken.bucket;
     if (taken.admitted) limit.grantsUntilMs.push(nowMs + GRANT_MS);
     else limit.noGrantUntilMs = nowMs + Math.min(taken.retryAfterMs, GRANT_MS);
-    wake(limit);
+    wakeWaiters(limit);
   }
 
   return {
@@ -241,34 +250,34 @@
       const knownPerS = getLimitPerS(engineId);
       if (limitPerS === knownPerS) return;
       if (limitPerS < knownPerS) {
-        put(engineId, { limitPerS, version: known?.version });
+        setLimit(engineId, { limitPerS, version: known?.version });
         metrics.count("engines.limits_named");
         return report({ engineId, limitPerS });
       }
-      // Only the leader ends a limit: all gateways hear it in the same order.
+      // Only the leader raises or ends a limit, so that all gateways see the same order.
       if (known?.version === undefined || sentMs === undefined) return;
-      if (sentMs <= known.knownMs) return;
+      if (sentMs <= known.knownSinceMs) return;
       report({
         engineId,
         limitPerS: limitPerS === Infinity ? null : limitPerS,
         knownVersion: known.version,
       });
     },
-    takeTold,
-    takeWhole(told) {
-      silentUntilMs = -Infinity;
-      const toldIds = new Set(told.map(({ engineId }) => engineId));
+    takeTold: updateLimits,
+    takeWhole(leaderLimits) {
+      leaderBackOffUntilMs = -Infinity;
+      const leaderIds = new Set(leaderLimits.map(({ engineId }) => engineId));
       for (const [engineId, limit] of limits) {
-        limit.safeBucket = undefined;
+        limit.leaderlessBucket = undefined;
         limit.noGrantUntilMs = -Infinity;
-        if (toldIds.has(engineId)) continue;
+        if (leaderIds.has(engineId)) continue;
         limit.version = undefined;
         report({ engineId, limitPerS: limit.limitPerS });
       }
-      takeTold(told);
+      updateLimits(leaderLimits);
     },
     takeGrants({ grants, askedMs }) {
-      unanswered.delete(askedMs);
+      pendingRequests.delete(askedMs);
       for (const { engineId, count, retryAfterMs } of grants) {
         const limit = limits.get(engineId);
         if (!limit) continue;
@@ -278,7 +287,7 @@
           limit.noGrantUntilMs = now() + retryAfterMs;
           metrics.count("grants.denied");
         }
-        wake(limit);
+        wakeWaiters(limit);
       }
     },
     getLimitPerS,
@@ -290,16 +299,16 @@
         const isValid = () => !limits.has(engineId);
         return { isValid, giveBack: () => {} };
       }
-      const untilMs = takeInHand(limit);
+      const untilMs = takeValidGrant(limit);
       return untilMs === undefined ? undefined : makeGrant(engineId, untilMs);
     },
     request(engineId) {
       const limit = limits.get(engineId);
       if (!limit) return Promise.resolve();
       metrics.count("grants.requested");
-      asked[engineId] = (asked[engineId] ?? 0) + 1;
-      if (!isAsking) setImmediate(ask);
-      isAsking = true;
+      requestedCounts[engineId] = (requestedCounts[engineId] ?? 0) + 1;
+      if (!isRequestScheduled) setImmediate(sendRequests);
+      isRequestScheduled = true;
       return new Promise((resolve) => limit.waiting.push(resolve));
     },
     takeReports() {
--- a/src/gateway/create_repeat_budget.ts
+++ b/src/gateway/create_repeat_budget.ts
@@ -1,103 +1,103 @@
 /**
- * This gateway's share of the repeats that all gateways together may send to
- * a service, and what the leader lends it on top.
+ * The retry budget of a gateway: its share of the retries that all gateways together
+ * may send to a service, and the retries that the leader lends it on top.
  *
  * @module
  */
 
 import { LOAN_MS, OWN_EXTRA_SHARE } from "../fleet/index.ts";
 
-/** The fleet's bound on repeats, and the share of this gateway. */
-export interface CreateRepeatBudgetOptions {
-  /** Repeats allowed for each request. */
+/** The fleet's limit on retries, and the share of this gateway. */
+export interface CreateGatewayRetryBudgetOptions {
+  /** Retries allowed per request. */
   readonly ratio: number;
-  /** Repeats allowed, on top, in each window by all gateways together. */
+  /** Extra retries per window that all gateways together may send. */
   readonly extra: number;
   /** Length of the window, in ms. */
   readonly windowMs: number;
-  /** Gateways among which the extra is divided. */
+  /** Number of gateways that share the extra retries. */
   readonly getGatewayCount: () => number;
-  /** Called when a repeat is wanted and none is left. */
+  /** Called when a retry is needed and none is left. */
   readonly onShort?: () => void;
   /**
-   * Monotonic time, in ms, for the window: where it stands still while the machine
-   * is suspended, fewer repeats are sent, never more.
+   * Monotonic time, in ms, for the window. If it stops while the system is suspended,
+   * fewer retries are sent, never more.
    */
   readonly now: () => number;
   /**
-   * Monotonic time, in ms, that counts suspensions, for loans; the same clock by
-   * default.
+   * Monotonic time, in ms, that includes system suspends, for loans; the same clock
+   * by default.
    */
   readonly elapsedNow?: () => number;
 }
 
-/** Repeats that are lent. */
-export interface RepeatLoan {
+/** Retries lent by the leader. */
+export interface RetryLoan {
   readonly service: string;
   readonly count: number;
-  /** When this gateway asked, in ms of the clock that counts suspensions. */
+  /** When this gateway asked, in ms of the clock that includes suspends. */
   readonly askedMs: number;
 }
 
-/** A budget of repeats by service. */
+/** A retry budget for each service. */
 export interface RepeatBudget {
   noteRequest(service: string): void;
-  /** Spends one repeat; false where none is left. */
+  /** Spends one retry; false if none is left. */
   spend(service: string): boolean;
-  /** Repeats that it would borrow, by service; the leader is told so. */
+  /** Retries to borrow from the leader, by service. */
   getWanted(): Readonly<Record<string, number>>;
-  takeLoan(loan: RepeatLoan): void;
+  takeLoan(loan: RetryLoan): void;
 }
 
-/** Share of the repeats for each request that is used, so that none is one over. */
+/** Used share of the retries per request; the rest keeps the fleet below its limit. */
 const USED_SHARE = 0.92;
 
 /**
- * Share that a gateway uses in its first window: what it spent before a restart
- * it does not know.
+ * Share that a gateway uses in its first window, as it does not know what it spent
+ * before a restart.
  */
 const FIRST_USED_SHARE = 0.45;
 
-/** Repeats left below which a gateway that needs them borrows more. */
-const LOW_REPEATS = 2;
+/** Remaining retries below which a gateway that needs them borrows more. */
+const LOW_RETRIES = 2;
 
-/** Repeats that it borrows at a time: the streams of a lost engine. */
-const LOAN_REPEATS = 4;
+/** Retries borrowed at a time: the streams of a failed engine. */
+const LOAN_RETRIES = 4;
 
-/** Ms for which a want that was not met is told again. */
-const WANT_MS = 500;
+/** Time, in ms, after a needed retry for which loans are requested. */
+const WANT_TTL_MS = 500;
 
-interface Counts {
+interface ServiceCounts {
   requestsMs: number[];
-  /** Repeats of its own share. */
-  repeatsMs: number[];
+  /** Send times of retries out of its own share. */
+  retriesMs: number[];
   loans: { untilMs: number; left: number }[];
-  /** When a repeat was last asked for, in ms. */
-  neededMs: number;
+  /** When a retry was last needed, in ms. */
+  lastNeededMs: number;
 }
 
 /**
- * Makes the budget.
+ * Creates the budget.
  *
- * @param options - The bound and the gateway's share.
+ * @param options - The fleet's limit and the gateway's share.
  * @returns The budget.
  * @throws Nothing.
  * @example
  * if (!budget.spend("advisor")) return refuse();
  */
 export function createRepeatBudget(
-  options: CreateRepeatBudgetOptions,
+  options: CreateGatewayRetryBudgetOptions,
 ): RepeatBudget {
   const { ratio, extra, windowMs, now, elapsedNow = now } = options;
-  const services = new Map<string, Counts>();
+  const services = new Map<string, ServiceCounts>();
   const startedMs = now();
 
-  function getCounts(service: string): Counts {
+  function getCounts(service: string): ServiceCounts {
     const known = services.get(service);
     const counts = known ??
-      { requestsMs: [], repeatsMs: [], loans: [], neededMs: -Infinity };
+      { requestsMs: [], retriesMs: [], loans: [], lastNeededMs: -Infinity };
     const sinceMs = now() - windowMs;
-    for (const times of [counts.requestsMs, counts.repeatsMs]) {
+    for (const times of [counts.requestsMs, counts.retriesMs]) {
       while (times.length > 0 && times[0] < sinceMs) times.shift();
     }
     counts.loans = counts.loans
@@ -106,31 +106,31 @@
     return counts;
   }
 
-  function getOwnLeft({ requestsMs, repeatsMs }: Counts): number {
+  function getOwnRemaining({ requestsMs, retriesMs }: ServiceCounts): number {
     const share = OWN_EXTRA_SHARE * extra /
       Math.max(1, options.getGatewayCount());
     const isFirst = now() - startedMs < windowMs;
     const allowed = isFirst
       ? FIRST_USED_SHARE * (ratio * requestsMs.length + share)
       : USED_SHARE * ratio * requestsMs.length + share;
-    return Math.max(0, Math.floor(allowed) - repeatsMs.length);
+    return Math.max(0, Math.floor(allowed) - retriesMs.length);
   }
 
-  function getLeft(counts: Counts): number {
+  function getRemaining(counts: ServiceCounts): number {
     const lent = counts.loans.reduce((sum, { left }) => sum + left, 0);
-    return getOwnLeft(counts) + lent;
+    return getOwnRemaining(counts) + lent;
   }
 
   function spend(service: string): boolean {
     const counts = getCounts(service);
-    counts.neededMs = now();
+    counts.lastNeededMs = now();
     const [loan] = counts.loans;
     if (loan) {
       loan.left -= 1;
       return true;
     }
-    if (getOwnLeft(counts) < 1) return false;
-    counts.repeatsMs.push(now());
+    if (getOwnRemaining(counts) < 1) return false;
+    counts.retriesMs.push(now());
     return true;
   }
 
@@ -144,9 +144,9 @@
     getWanted() {
       const wanted = [...services.keys()].flatMap((service) => {
         const counts = getCounts(service);
-        const isNeeded = now() - counts.neededMs < WANT_MS;
-        const isLow = getLeft(counts) < LOW_REPEATS;
-        return isNeeded && isLow ? [[service, LOAN_REPEATS] as const] : [];
+        const isNeeded = now() - counts.lastNeededMs < WANT_TTL_MS;
+        const isLow = getRemaining(counts) < LOW_RETRIES;
+        return isNeeded && isLow ? [[service, LOAN_RETRIES] as const] : [];
       });
       return Object.fromEntries(wanted);
     },
--- a/src/gateway/create_repeat_budget_test.ts
+++ b/src/gateway/create_repeat_budget_test.ts
@@ -1,6 +1,6 @@
 /**
- * Repeats of 200 gateways: those whose streams hung on a lost engine borrow
- * what the others don't need, and all together keep to the bound.
+ * Retries of 200 gateways: gateways whose streams ran on a failed engine borrow the
+ * retries that the others don't need, and the fleet stays within its limit.
  */
 
 import { test } from "uvu";
@@ -15,10 +15,10 @@
 const EXTRA = 584;
 const WINDOW_MS = 10_000;
 
-/** Ms after which a gateway has no first window any more. */
+/** Time, in ms, when the first window of each gateway is over. */
 const SETTLED_MS = 25_000;
 
-function startFleet() {
+function createFleet() {
   const clock = { nowMs: 0 };
   const now = () => clock.nowMs;
   let leadsSinceMs = 0;
@@ -44,7 +44,7 @@
     fleet.lender = makeLender();
   }
 
-  /** Lends a gateway what it wants; the answer comes after a while. */
+  /** Lends a gateway what it wants; the returned function delivers the loan. */
   function lend(at: number): () => void {
     const wanted = gateways[at].getWanted()[SERVICE] ?? 0;
     const askedMs = now();
@@ -55,32 +55,32 @@
   return { clock, gateways, changeLeader, lend };
 }
 
-test("a loan has run out at waking, and the window goes on", () => {
-  const clock = { steadyMs: 0, missedMs: 0 };
+test("a loan expires during a system suspend, while the window goes on", () => {
+  const clock = { steadyMs: 0, suspendedMs: 0 };
   const budget = createRepeatBudget({
     ratio: 0,
     extra: 0,
     windowMs: WINDOW_MS,
     getGatewayCount: () => 1,
     now: () => clock.steadyMs,
-    elapsedNow: () => clock.steadyMs + clock.missedMs,
+    elapsedNow: () => clock.steadyMs + clock.suspendedMs,
   });
   const lend = () =>
     budget.takeLoan({
       service: SERVICE,
       count: 4,
-      askedMs: clock.steadyMs + clock.missedMs,
+      askedMs: clock.steadyMs + clock.suspendedMs,
     });
   lend();
   assert.ok(budget.spend(SERVICE));
-  clock.missedMs = 6_000;
+  clock.suspendedMs = 6_000;
   assert.not.ok(budget.spend(SERVICE));
   lend();
   assert.ok(budget.spend(SERVICE));
 });
 
-test("one gateway's streams of a lost engine all go on, out of what others don't use", () => {
-  const { clock, gateways, lend } = startFleet();
+test("all streams of a failed engine are retried, out of what other gateways don't use", () => {
+  const { clock, gateways, lend } = createFleet();
   clock.nowMs = SETTLED_MS;
   gateways.forEach((one) => {
     for (let asked = 0; asked < 12; asked++) one.noteRequest(SERVICE);
@@ -88,16 +88,16 @@
   const [budget] = gateways;
   const streams = 20;
   let sent = 0;
-  for (let tries = 0; tries < 3 * streams && sent < streams; tries++) {
+  for (let attempts = 0; attempts < 3 * streams && sent < streams; attempts++) {
     if (budget.spend(SERVICE)) sent += 1;
     else lend(0)();
   }
-  // By its own share alone: 3.
+  // Its own share alone allows 3.
   assert.is(sent, streams);
 });
 
-test("a gateway that needs no repeats borrows none, nor twice the same", () => {
-  const { clock, gateways } = startFleet();
+test("a gateway without need for retries borrows none, nor twice for the same need", () => {
+  const { clock, gateways } = createFleet();
   clock.nowMs = SETTLED_MS;
   const [budget] = gateways;
   budget.noteRequest(SERVICE);
@@ -111,8 +111,8 @@
   assert.not(budget.spend(SERVICE));
 });
 
-test("a new leader lends nothing while earlier loans may be used", () => {
-  const { clock, gateways, changeLeader, lend } = startFleet();
+test("a new leader lends nothing while earlier loans may still be used", () => {
+  const { clock, gateways, changeLeader, lend } = createFleet();
   clock.nowMs = SETTLED_MS;
   changeLeader();
   while (gateways[0].spend(SERVICE));
@@ -124,8 +124,8 @@
   assert.ok(gateways[0].spend(SERVICE));
 });
 
-/** The most that is spent beyond the ratio in any window. */
-function findMostExtra(
+/** Most retries spent beyond the ratio in any window. */
+function findMaxExtra(
   spentMs: readonly number[],
   askedMs: readonly number[],
 ): number {
@@ -140,18 +140,18 @@
 }
 
 for (const seed of [1, 2, 3, 4]) {
-  test(`all together keep to the bound, whoever leads and however late loans come (seed ${seed})`, () => {
+  test(`the fleet stays within its limit across leader changes and late loans (seed ${seed})`, () => {
     const source = createRandomSource(seed);
     const draw = (below: number) => source.integer(0, below - 1);
-    const { clock, gateways, changeLeader, lend } = startFleet();
+    const { clock, gateways, changeLeader, lend } = createFleet();
     const spentMs: number[] = [];
     const askedMs: number[] = [];
-    let late: { readonly dueMs: number; readonly arrive: () => void }[] = [];
+    let delayed: { readonly dueMs: number; readonly arrive: () => void }[] = [];
     for (; clock.nowMs < 60_000; clock.nowMs += 50) {
       if (draw(400) === 0) changeLeader();
-      late.filter(({ dueMs }) => dueMs <= clock.nowMs)
+      delayed.filter(({ dueMs }) => dueMs <= clock.nowMs)
         .forEach(({ arrive }) => arrive());
-      late = late.filter(({ dueMs }) => dueMs > clock.nowMs);
+      delayed = delayed.filter(({ dueMs }) => dueMs > clock.nowMs);
       for (let asked = 0; asked < 12; asked++) {
         gateways[draw(GATEWAYS)].noteRequest(SERVICE);
         askedMs.push(clock.nowMs);
@@ -161,11 +161,11 @@
         if (gateways[at].spend(SERVICE)) spentMs.push(clock.nowMs);
         else {
           const dueMs = clock.nowMs + draw(2_500);
-          late.push({ dueMs, arrive: lend(at) });
+          delayed.push({ dueMs, arrive: lend(at) });
         }
       }
     }
-    const most = findMostExtra(spentMs, askedMs);
+    const most = findMaxExtra(spentMs, askedMs);
     assert.ok(most <= EXTRA, `${most} of ${EXTRA}`);
     assert.ok(spentMs.length > 500);
   });
--- a/src/gateway/create_try_payment.ts
+++ b/src/gateway/create_try_payment.ts
@@ -1,43 +1,43 @@
 /**
- * Pays for the tries of one call out of the budget of repeats.
+ * Charges the attempts of a call to the retry budget.
  *
  * @module
  */
 
-/** Pays for the tries of one call. */
-export interface TryPayment {
-  /** Whether the next try is paid for; pays where it has to be. */
+/** Charges the attempts of one call. */
+export interface AttemptCharge {
+  /** Charges the next attempt if needed; false if the budget is exhausted. */
   payNext(): boolean;
-  /** Notes how the try ended that was paid for last. */
+  /** Records how the last charged attempt ended. */
   noteEnd(end: {
-    /** Whether anything of it had left for the upstream. */
+    /** Whether any of its bytes were sent to the upstream. */
     readonly wasSent: boolean;
   }): void;
 }
 
 /**
- * Makes the payment of one call. The first try that is sent costs nothing, each
- * further one a repeat. One whose connection was refused has reached no upstream,
- * so what was paid for it pays for the next: with nine engines of 40 crashed, gateways
- * met 37 refused connections in four seconds, and 70 streams were given up for want
- * of repeats, some of which had bought nothing (by the log lines of one day).
+ * Creates the charge of one call. The first attempt that is sent is free, each further
+ * one costs a retry. An attempt whose connection was refused has reached no upstream,
+ * so its charge carries over to the next one: with 9 of 40 engines crashed, gateways
+ * saw 37 refused connections in four seconds, and 70 streams failed for lack of
+ * retries, some of which had been spent on those connections.
  *
- * @param spend - Spends a repeat; false where none is left.
- * @returns The payment.
+ * @param spend - Spends a retry; false if none is left.
+ * @returns The charge.
  * @throws Nothing.
  * @example
- * const payment = createTryPayment(() => budget.spend(service));
+ * const charge = createAttemptCharge(() => budget.spend(service));
  */
-export function createTryPayment(spend: () => boolean): TryPayment {
-  // The first try is free.
-  let isPaid = true;
+export function createTryPayment(spend: () => boolean): AttemptCharge {
+  // The first attempt is free.
+  let isCharged = true;
   return {
     payNext() {
-      isPaid ||= spend();
-      return isPaid;
+      isCharged ||= spend();
+      return isCharged;
     },
     noteEnd({ wasSent }) {
-      if (wasSent) isPaid = false;
+      if (wasSent) isCharged = false;
     },
   };
 }
--- a/src/gateway/create_try_payment_test.ts
+++ b/src/gateway/create_try_payment_test.ts
@@ -2,50 +2,50 @@
 import * as assert from "uvu/assert";
 import { createTryPayment } from "./create_try_payment.ts";
 
-function startPayment(repeats: number) {
-  let left = repeats;
-  const payment = createTryPayment(() => {
+function startCharge(retries: number) {
+  let left = retries;
+  const charge = createTryPayment(() => {
     if (left === 0) return false;
     left -= 1;
     return true;
   });
-  return { payment, getLeft: () => left };
+  return { charge, getLeft: () => left };
 }
 
-test("the first try that is sent is free, each further one costs a repeat", () => {
-  const { payment, getLeft } = startPayment(1);
-  assert.ok(payment.payNext());
-  payment.noteEnd({ wasSent: true });
-  assert.ok(payment.payNext());
+test("the first attempt that is sent is free, each further one costs a retry", () => {
+  const { charge, getLeft } = startCharge(1);
+  assert.ok(charge.payNext());
+  charge.noteEnd({ wasSent: true });
+  assert.ok(charge.payNext());
   assert.is(getLeft(), 0);
-  payment.noteEnd({ wasSent: true });
-  assert.not(payment.payNext());
+  charge.noteEnd({ wasSent: true });
+  assert.not(charge.payNext());
 });
 
-test("tries that reach no upstream cost nothing, first or later ones", () => {
-  const { payment, getLeft } = startPayment(1);
+test("attempts that reach no upstream are free, first or later", () => {
+  const { charge, getLeft } = startCharge(1);
   for (let refused = 0; refused < 3; refused++) {
-    assert.ok(payment.payNext());
-    payment.noteEnd({ wasSent: false });
+    assert.ok(charge.payNext());
+    charge.noteEnd({ wasSent: false });
   }
   assert.is(getLeft(), 1);
-  assert.ok(payment.payNext());
-  payment.noteEnd({ wasSent: true });
+  assert.ok(charge.payNext());
+  charge.noteEnd({ wasSent: true });
   for (let refused = 0; refused < 3; refused++) {
-    assert.ok(payment.payNext());
-    payment.noteEnd({ wasSent: false });
+    assert.ok(charge.payNext());
+    charge.noteEnd({ wasSent: false });
   }
   assert.is(getLeft(), 0);
 });
 
-test("one that waits for repeats pays once there are some", () => {
-  let isThere = false;
-  const payment = createTryPayment(() => isThere);
-  payment.payNext();
-  payment.noteEnd({ wasSent: true });
-  assert.not(payment.payNext());
-  isThere = true;
-  assert.ok(payment.payNext());
+test("a call that waits for retries is charged once one is available", () => {
+  let isAvailable = false;
+  const charge = createTryPayment(() => isAvailable);
+  charge.payNext();
+  charge.noteEnd({ wasSent: true });
+  assert.not(charge.payNext());
+  isAvailable = true;
+  assert.ok(charge.payNext());
 });
 
 test.run();
--- a/src/gateway/get_limit_interval_ms.ts
+++ b/src/gateway/get_limit_interval_ms.ts
@@ -1,5 +1,5 @@
 /**
- * How fast limited upstreams of a service take requests.
+ * Computes how fast the rate-limited upstreams of a service accept requests.
  *
  * @module
  */
@@ -9,12 +9,12 @@
 const MS_PER_S = 1_000;
 
 /**
- * Gets the mean time between two sends that the limits of a service's upstreams allow
- * to all gateways together.
+ * Gets the mean time between two sends of all gateways together that the rate limits
+ * of a service's upstreams allow.
  *
  * @param context - The upstreams and their limits.
  * @param service - The service.
- * @returns Ms; Infinity where no upstream is limited, or none takes anything.
+ * @returns Ms; Infinity if no upstream is limited, or all limits are 0.
  * @throws Nothing.
  * @example
  * const intervalMs = getLimitIntervalMs({ engines, rateLimits }, "drafting");
--- a/src/gateway/get_limit_wait_ms.ts
+++ b/src/gateway/get_limit_wait_ms.ts
@@ -1,5 +1,5 @@
 /**
- * When rate limits make requests possible again.
+ * Computes when rate limits allow a request to be sent again.
  *
  * @module
  */
@@ -8,12 +8,12 @@
 import type { Call, ServingContext } from "./types.ts";
 
 /**
- * Gets the time after which an upstream may have a send left where all that could
- * begin a call are at their rate limits.
+ * Gets the time after which a send may be available if all upstreams at which a call
+ * could begin are at their rate limits.
  *
  * @param call - The call.
  * @param context - The upstreams and their limits.
- * @returns Ms; undefined where it isn't limits that are in the way.
+ * @returns Ms; undefined if the call isn't blocked by rate limits.
  * @throws Nothing.
  * @example
  * const waitMs = getLimitWaitMs(call, context);
--- a/src/gateway/note_back_off.ts
+++ b/src/gateway/note_back_off.ts
@@ -1,5 +1,5 @@
 /**
- * Tells the throttle of back-offs that upstreams ask for.
+ * Reports back-offs that upstreams ask for to the throttle.
  *
  * @module
  */
@@ -9,7 +9,7 @@
 import type { Call, ServingContext } from "./types.ts";
 
 /**
- * Tells the throttle that an upstream has rejected a call and asked for a back-off.
+ * Reports to the throttle that an upstream rejected a call and asked for a back-off.
  *
  * @param call - The call.
  * @param context - The upstreams and the throttle.
@@ -26,9 +26,9 @@
   const { service } = call;
   const isLayered = getCallModel(call, context) !== undefined;
   const usable = listBeginners(call, context).length;
-  const resting = engines.listBackedOff(service)
+  const backedOff = engines.listBackedOff(service)
     .filter(({ record }) => !isLayered || record.layers?.fromLayer === 0)
     .length;
-  const backedOffShare = resting / Math.max(1, usable + resting);
+  const backedOffShare = backedOff / Math.max(1, usable + backedOff);
   throttle.noteBackOff(service, { backedOffShare });
 }
--- a/src/gateway/note_withheld.ts
+++ b/src/gateway/note_withheld.ts
@@ -1,5 +1,5 @@
 /**
- * Notes that a request was withheld.
+ * Records requests that were withheld from an upstream.
  *
  * @module
  */
@@ -7,11 +7,11 @@
 import type { Call, ServingContext } from "./types.ts";
 
 /**
- * Notes that a request had not left yet when its upstream asked for a back-off or left. It
- * has reached nobody, which is no try.
+ * Records that a request was not sent because its upstream had asked for a back-off or
+ * departed. It reached no upstream, so it does not count as an attempt.
  *
  * @param call - The call.
- * @param context - Where it is told.
+ * @param context - The log and the metrics.
  * @param engineId - The upstream.
  * @returns Nothing.
  * @throws Nothing.
--- a/src/gateway/request_grant.ts
+++ b/src/gateway/request_grant.ts
@@ -1,5 +1,5 @@
 /**
- * Asks for leave to send a call to an upstream that is limited.
+ * Requests a grant to send a call to a rate-limited upstream.
  *
  * @module
  */
@@ -7,12 +7,12 @@
 import type { Call, ServingContext } from "./types.ts";
 
 /**
- * Asks for a grant, and logs where there is none to be had.
+ * Requests a grant, and logs if none is available.
  *
  * @param call - The call.
- * @param context - The limits, and where it is told.
+ * @param context - The rate limits and the log.
  * @param engineId - The upstream.
- * @returns A promise that resolves when it is time to choose an upstream again.
+ * @returns A promise that resolves when an upstream can be chosen again.
  * @throws Nothing.
  * @example
  * void requestGrant(call, context, engineId).then(next);
