--- a/src/gateway/create_end_check.ts
+++ b/src/gateway/create_end_check.ts
@@ -1,56 +1,56 @@
 /**
- * Finds out whether an upstream has ended, or only a connection to it.
+ * Checks whether an upstream process has exited or only a connection to it broke.
  *
  * @module
  */
 
 import { connect } from "node:net";
 
-/** Whether an upstream's process is there. */
-export type UpstreamPresence =
-  /** Its machine turns connections down: nothing listens there any more. */
+/** Whether an upstream's process is running. */
+export type UpstreamLiveness =
+  /** Its machine refuses connections: nothing listens on the port any more. */
   | "ended"
   /** Something accepts connections. */
   | "listening"
-  /** Nothing came back in time: a cut looks the same. */
+  /** No answer in time; a network partition looks the same. */
   | "unknown";
 
-/** An upstream's run and where it listens. */
+/** An incarnation of an upstream and its address. */
 export interface UpstreamAddress {
   readonly engineId: string;
   /** Host and port. */
   readonly address: string;
 }
 
-/** Finds out whether upstreams have ended. */
+/** Checks whether upstream processes have exited. */
 export interface EndCheck {
-  /** Never rejects; who asks at the same time shares the answer. */
-  check(upstream: UpstreamAddress): Promise<UpstreamPresence>;
+  /** Never rejects; concurrent checks of an upstream share one result. */
+  check(upstream: UpstreamAddress): Promise<UpstreamLiveness>;
 }
 
-/** Opens a connection and says what came of it. */
+/** Opens a connection and reports the result. */
 export type ProbeAddress = (
   address: string,
   options: { readonly timeoutMs: number },
-) => Promise<UpstreamPresence>;
+) => Promise<UpstreamLiveness>;
 
 /**
- * Ms for a connection to come up or be turned down: a round trip between regions
- * is some 80 ms, within one it takes one or two.
+ * Time, in ms, for a connection to be accepted or refused. A round trip takes about
+ * 80 ms between regions and 1 to 2 ms within one.
  */
 const PROBE_TIMEOUT_MS = 200;
 
-/** Ms for which an answer serves all whose streams broke together. */
-const ANSWER_AGE_MS = 500;
+/** Time, in ms, for which a result is shared by streams that broke together. */
+const RESULT_TTL_MS = 500;
 
 /**
- * Makes the check.
+ * Creates the check.
  *
- * @param options - The time, and how an address is probed.
+ * @param options - The clock, and how to probe an address.
  * @returns The check.
  * @throws Nothing.
  * @example
- * const presence = await endCheck.check({ engineId, address });
+ * const liveness = await livenessCheck.check({ engineId, address });
  */
 export function createEndCheck(
   options: {
@@ -60,46 +60,46 @@
   },
 ): EndCheck {
   const { now, probe = probeAddress } = options;
-  const asked = new Map<
+  const recentChecks = new Map<
     string,
-    { readonly atMs: number; readonly answer: Promise<UpstreamPresence> }
+    { readonly atMs: number; readonly answer: Promise<UpstreamLiveness> }
   >();
 
-  function forgetOld(): void {
-    for (const [engineId, { atMs }] of asked) {
-      if (now() - atMs >= ANSWER_AGE_MS) asked.delete(engineId);
+  function evictExpired(): void {
+    for (const [engineId, { atMs }] of recentChecks) {
+      if (now() - atMs >= RESULT_TTL_MS) recentChecks.delete(engineId);
     }
   }
 
   return {
     check({ engineId, address }) {
-      forgetOld();
-      const known = asked.get(engineId);
-      if (known) return known.answer;
+      evictExpired();
+      const cached = recentChecks.get(engineId);
+      if (cached) return cached.answer;
       const answer = probe(address, { timeoutMs: PROBE_TIMEOUT_MS });
-      asked.set(engineId, { atMs: now(), answer });
+      recentChecks.set(engineId, { atMs: now(), answer });
       return answer;
     },
   };
 }
 
-/** Opens a connection of its own: a kept one that is reset proves nothing. */
+/** Opens a new connection: the reset of a pooled one proves nothing. */
 export const probeAddress: ProbeAddress = (address, { timeoutMs }) =>
   new Promise((resolve) => {
     const [host, port] = address.split(":");
     const socket = connect({ host, port: Number(port) });
-    const timer = setTimeout(() => end("unknown"), timeoutMs);
+    const timer = setTimeout(() => finish("unknown"), timeoutMs);
 
-    function end(presence: UpstreamPresence): void {
+    function finish(liveness: UpstreamLiveness): void {
       clearTimeout(timer);
       socket.destroy();
-      resolve(presence);
+      resolve(liveness);
     }
 
-    socket.once("connect", () => end("listening"));
+    socket.once("connect", () => finish("listening"));
     socket.on(
       "error",
       (error: NodeJS.ErrnoException) =>
-        end(error.code === "ECONNREFUSED" ? "ended" : "unknown"),
+        finish(error.code === "ECONNREFUSED" ? "ended" : "unknown"),
     );
   });
--- a/src/gateway/create_end_check_test.ts
+++ b/src/gateway/create_end_check_test.ts
@@ -4,7 +4,7 @@
 import { findFreePorts } from "../../demo/find_free_ports.ts";
 import { createEndCheck, probeAddress } from "./create_end_check.ts";
 
-test("what listens is there, what turns connections down has ended", async () => {
+test("an address that accepts connections is alive, one that refuses them has exited", async () => {
   const [port] = await findFreePorts(1);
   const address = `127.0.0.1:${port}`;
   assert.is(await probeAddress(address, { timeoutMs: 2_000 }), "ended");
@@ -16,7 +16,7 @@
   await new Promise((resolve) => server.close(resolve));
 });
 
-test("streams that break together ask once", async () => {
+test("streams that break together share one probe", async () => {
   let nowMs = 0;
   const probed: string[] = [];
   const checks = createEndCheck({
@@ -27,10 +27,10 @@
     },
   });
   const engine = { engineId: "e1", address: "10.0.0.1:80" };
-  const answers = await Promise.all(
+  const results = await Promise.all(
     Array.from({ length: 9 }, () => checks.check(engine)),
   );
-  assert.equal(new Set(answers), new Set(["ended"]));
+  assert.equal(new Set(results), new Set(["ended"]));
   assert.is(probed.length, 1);
   nowMs = 1_000;
   await checks.check(engine);
--- a/src/gateway/create_left_runs.ts
+++ b/src/gateway/create_left_runs.ts
@@ -1,56 +1,56 @@
 /**
- * Runs that were given up a moment ago because their callers left: their upstream may
- * have ended under them all the same.
+ * Runs that were abandoned recently because their callers disconnected. They may still
+ * have crashed their upstream.
  *
  * @module
  */
 
 import type { CrashReport } from "../quarantine/index.ts";
 
-/** Runs that were given up a moment ago. */
+/** Runs that were abandoned recently. */
 export interface LeftRuns {
   note(run: CrashReport): void;
-  /** Takes the requests that were given up at an upstream just now. */
+  /** Removes and returns the requests that were abandoned recently on an upstream. */
   take(engineId: string): readonly string[];
   has(engineId: string): boolean;
 }
 
 /**
- * Ms for which a run that was given up may still be at fault: an upstream drops it
- * within half a second.
+ * Time, in ms, for which an abandoned run may still crash its upstream: the upstream
+ * drops it within half a second.
  */
-const LEFT_AGE_MS = 500;
+const ABANDONED_TTL_MS = 500;
 
 /**
- * Makes the list, empty.
+ * Creates an empty list.
  *
  * @param options - Monotonic time, in ms.
  * @returns The list.
  * @throws Nothing.
  * @example
- * leftRuns.note({ requestKey, engineId });
+ * abandonedRuns.note({ requestKey, engineId });
  */
 export function createLeftRuns(
   options: { readonly now: () => number },
 ): LeftRuns {
   const { now } = options;
-  let left: (CrashReport & { readonly atMs: number })[] = [];
+  let runs: (CrashReport & { readonly atMs: number })[] = [];
 
-  function listAt(engineId: string): string[] {
-    left = left.filter(({ atMs }) => now() - atMs < LEFT_AGE_MS);
-    return left.filter((one) => one.engineId === engineId)
+  function listRequestKeys(engineId: string): string[] {
+    runs = runs.filter(({ atMs }) => now() - atMs < ABANDONED_TTL_MS);
+    return runs.filter((one) => one.engineId === engineId)
       .map(({ requestKey }) => requestKey);
   }
 
   return {
     note(run) {
-      left = [...left, { ...run, atMs: now() }];
+      runs = [...runs, { ...run, atMs: now() }];
     },
     take(engineId) {
-      const requestKeys = listAt(engineId);
-      left = left.filter((one) => one.engineId !== engineId);
+      const requestKeys = listRequestKeys(engineId);
+      runs = runs.filter((one) => one.engineId !== engineId);
       return requestKeys;
     },
-    has: (engineId) => listAt(engineId).length > 0,
+    has: (engineId) => listRequestKeys(engineId).length > 0,
   };
 }
--- a/src/gateway/create_quarantine.ts
+++ b/src/gateway/create_quarantine.ts
@@ -1,6 +1,6 @@
 /**
- * The gateway's part of the quarantine: knows which requests ended upstreams,
- * here and elsewhere, and whether one may run.
+ * The gateway's side of the quarantine: tracks which requests crashed upstreams, at
+ * this gateway and at others, and decides whether a request may run.
  *
  * @module
  */
@@ -17,12 +17,12 @@
 /** Whether a request may run. */
 export type QuarantineVerdict =
   | { readonly type: "free" }
-  /** It may run once the leader has given out a trial. */
+  /** It may run once the leader has granted a trial. */
   | { readonly type: "trial" }
-  /** It may come again after so many ms. */
+  /** It is held back, and may be retried after this many ms. */
   | { readonly type: "held"; readonly leftMs: number };
 
-/** What the leader is told with the next beat; fields are absent where empty. */
+/** What the next heartbeat reports to the leader; empty fields are absent. */
 export interface QuarantineTold {
   readonly crashes?: readonly CrashReport[];
   readonly proved?: readonly string[];
@@ -30,86 +30,86 @@
   readonly trialsWanted?: readonly TrialWish[];
 }
 
-/** The gateway's part of the quarantine. */
+/** The gateway's side of the quarantine. */
 export interface Quarantine {
   judge(requestKey: string): QuarantineVerdict;
-  /** Whether any upstream ended under a request. */
+  /** Whether any upstream crashed while it ran a request. */
   isSuspect(requestKey: string): boolean;
-  /** Notes that an upstream ended when it had just begun a request. */
+  /** Records that an upstream crashed just after it had begun a request. */
   noteCrash(report: CrashReport): void;
-  /** Resolves once all gateways are told, or after a moment at most. */
+  /** Resolves once all gateways know of the crashes, or after a short timeout. */
   untilTold(requestKey: string): Promise<void>;
-  /** Notes that an upstream has run a request well. */
+  /** Records that an upstream ran a request without a crash. */
   noteProved(requestKey: string): void;
   /**
-   * The upstream where a request may begin its trial, once one is given out. The
-   * leader is asked for one at these upstreams meanwhile.
+   * Returns the upstream where a request may begin its trial, once one is granted.
+   * Until then the leader is asked for a trial on one of the given upstreams.
    */
-  takeTrial(wish: TrialWish): string | undefined;
-  /** Ends a trial: another try of the request may have the next one. */
+  takeTrial(request: TrialWish): string | undefined;
+  /** Ends a trial: another attempt of the request may get the next one. */
   endTrial(requestKey: string): void;
-  /** Notes where a suspected request was sent. */
-  noteSent(sent: CrashReport): void;
-  /** Upstreams where another suspected request of this gateway just began. */
+  /** Records where a suspected request was sent. */
+  noteSent(send: CrashReport): void;
+  /** Upstreams where another suspected request of this gateway began recently. */
   listTaken(requestKey: string): readonly string[];
-  /** Takes all that a leader knows, in place of what another one told. */
+  /** Replaces all cases by those of a newly connected leader. */
   takeWhole(cases: readonly ToldCase[]): void;
-  /** Takes what changed. */
+  /** Applies changes of cases. */
   takeCases(message: LeaderMessage & { type: "cases" }): void;
   takeGrant(message: LeaderMessage & { type: "trial" }): void;
   getTold(): QuarantineTold;
-  /** Suspected requests, and those of them that are held back. */
+  /** Number of suspected requests, and of those that are held back. */
   count(): { readonly suspects: number; readonly held: number };
 }
 
-/** What the quarantine needs of its gateway. */
+/** What the quarantine needs from its gateway. */
 export interface CreateQuarantineOptions {
-  /** Called when the leader is to be told at once. */
+  /** Called when an update has to be sent to the leader at once. */
   readonly onNews: () => void;
   /** Monotonic time, in ms. */
   readonly now: () => number;
 }
 
-/** Ms for which a report counts here, and is told, while the leader's list lacks it. */
-const REPORT_AGE_MS = 30_000;
+/** Time, in ms, for which a crash report counts and is sent until the leader lists it. */
+const REPORT_TTL_MS = 30_000;
 
-/** Reports that wait to be told; the oldest are dropped first. */
+/** Most crash reports kept; the oldest are dropped first. */
 const MAX_REPORTS = 500;
 
 /**
- * Ms that a request waits after an upstream's end until all are told: two round
- * trips and two syncs of a disk, and some more.
+ * Longest time, in ms, that a request waits after a crash until all gateways know of
+ * it: two round trips and two disk syncs, with some margin.
  */
-const MAX_TELL_WAIT_MS = 150;
+const MAX_REPORT_WAIT_MS = 150;
 
-/** Ms between two looks whether all are told. */
-const TELL_POLL_MS = 5;
+/** Interval, in ms, of the check whether all gateways know. */
+const REPORT_POLL_MS = 5;
 
 /**
- * Ms for which an upstream's good run speaks for a request, also for one that comes
- * later: what many ask alike at the same time is not at fault where some of it
- * is lost together with upstreams.
+ * Time, in ms, for which a run without a crash clears a request, later copies
+ * included. If many callers send the same request at once, some copies are lost in
+ * crashes that the request did not cause.
  */
-const PROOF_AGE_MS = 30_000;
+const PROOF_TTL_MS = 30_000;
 
-/** Proofs that are kept; the oldest are dropped first. */
+/** Most cleared requests kept; the oldest are dropped first. */
 const MAX_PROOFS = 2_000;
 
-/** Ms for which a wish for a trial is told. */
-const WISH_AGE_MS = 300;
+/** Time, in ms, for which a trial request is sent to the leader. */
+const TRIAL_REQUEST_TTL_MS = 300;
 
-/** Ms within which two suspected requests don't begin at the same upstream. */
-const APART_MS = 500;
+/** Shortest time, in ms, between two suspected requests on the same upstream. */
+const SUSPECT_SPACING_MS = 500;
 
-interface HeldCase {
+interface KnownCase {
   readonly engineIds: ReadonlySet<string>;
   readonly heldUntilMs: number;
 }
 
 /**
- * Makes the quarantine, nobody suspected.
+ * Creates the quarantine, without any suspects.
  *
- * @param options - Who hears of news, and the time.
+ * @param options - The notification of the leader, and the clock.
  * @returns The quarantine.
  * @throws Nothing.
  * @example
@@ -118,49 +118,52 @@
 export function createQuarantine(
   options: CreateQuarantineOptions,
 ): Quarantine {
-  const { onNews, now } = options;
-  let told = new Map<string, HeldCase>();
+  const { onNews: notifyLeader, now } = options;
+  let knownCases = new Map<string, KnownCase>();
   let reports: (CrashReport & { readonly atMs: number })[] = [];
   const proofs = new Map<string, number>();
-  const wishes = new Map<string, TrialWish & { readonly atMs: number }>();
+  const trialRequests = new Map<
+    string,
+    TrialWish & { readonly atMs: number }
+  >();
   const grants = new Map<string, { engineId: string; untilMs: number }>();
-  // Tries of one request that come together each want a trial; one has it.
+  // Concurrent attempts of one request each ask for a trial; only one gets it.
   const onTrialUntilMs = new Map<string, number>();
   let trialsEnded = new Set<string>();
-  let sent: (CrashReport & { readonly atMs: number })[] = [];
+  let recentSends: (CrashReport & { readonly atMs: number })[] = [];
 
-  function readCase({ engineIds, heldMs }: ToldCase): HeldCase {
+  function readCase({ engineIds, heldMs }: ToldCase): KnownCase {
     return {
       engineIds: new Set(engineIds),
       heldUntilMs: heldMs === 0 ? -Infinity : now() + heldMs,
     };
   }
 
-  function listEnds(requestKey: string): string[] {
+  function listCrashedUpstreams(requestKey: string): string[] {
     const own = reports.filter((one) => one.requestKey === requestKey)
       .map(({ engineId }) => engineId);
-    const all = [...told.get(requestKey)?.engineIds ?? [], ...own];
+    const all = [...knownCases.get(requestKey)?.engineIds ?? [], ...own];
     return [...new Set(all)];
   }
 
   function isProved(requestKey: string): boolean {
-    return now() - (proofs.get(requestKey) ?? -Infinity) < PROOF_AGE_MS;
+    return now() - (proofs.get(requestKey) ?? -Infinity) < PROOF_TTL_MS;
   }
 
-  function isTold({ requestKey, engineId }: CrashReport): boolean {
-    return told.get(requestKey)?.engineIds.has(engineId) ?? false;
+  function isListed({ requestKey, engineId }: CrashReport): boolean {
+    return knownCases.get(requestKey)?.engineIds.has(engineId) ?? false;
   }
 
-  // An end for which another request was convicted speaks against nobody else.
+  // A crash for which a request was convicted does not count against other requests.
   function isExplained({ engineId }: CrashReport): boolean {
-    return [...told.values()].some((one) =>
+    return [...knownCases.values()].some((one) =>
       one.heldUntilMs > now() && one.engineIds.has(engineId)
     );
   }
 
-  function listUntold(): typeof reports {
+  function listUnlisted(): typeof reports {
     reports = reports.filter((one) =>
-      now() - one.atMs < REPORT_AGE_MS && !isTold(one) && !isExplained(one)
+      now() - one.atMs < REPORT_TTL_MS && !isListed(one) && !isExplained(one)
     );
     return reports;
   }
@@ -169,62 +172,64 @@
     return now() < (onTrialUntilMs.get(requestKey) ?? -Infinity);
   }
 
-  // Who wished for it may have left: its upstream is free for others.
-  function giveBack(requestKey: string): void {
+  // The caller that asked for the trial may have left: its upstream is free for others.
+  function releaseTrial(requestKey: string): void {
     grants.delete(requestKey);
     trialsEnded.add(requestKey);
   }
 
-  function dropOldWishes(): void {
-    for (const [key, { atMs }] of wishes) {
-      if (now() - atMs >= WISH_AGE_MS) wishes.delete(key);
+  function dropExpiredRequests(): void {
+    for (const [key, { atMs }] of trialRequests) {
+      if (now() - atMs >= TRIAL_REQUEST_TTL_MS) trialRequests.delete(key);
     }
-    [...grants.keys()].filter((key) => !wishes.has(key)).forEach(giveBack);
+    [...grants.keys()].filter((key) => !trialRequests.has(key)).forEach(
+      releaseTrial,
+    );
   }
 
-  function listWishes(): TrialWish[] {
-    dropOldWishes();
-    return [...wishes.values()]
+  function listTrialRequests(): TrialWish[] {
+    dropExpiredRequests();
+    return [...trialRequests.values()]
       .map(({ requestKey, engineIds }) => ({ requestKey, engineIds }));
   }
 
-  function takeChange(
+  function applyChange(
     { cases, cleared }: Pick<
       LeaderMessage & { type: "cases" },
       "cases" | "cleared"
     >,
   ): void {
-    for (const one of cases) told.set(one.requestKey, readCase(one));
-    for (const key of cleared) told.delete(key);
+    for (const one of cases) knownCases.set(one.requestKey, readCase(one));
+    for (const key of cleared) knownCases.delete(key);
     reports = reports.filter((one) => !cleared.includes(one.requestKey));
-    // What speaks for a request that others suspect is told at once.
-    if (cases.some((one) => isProved(one.requestKey))) onNews();
+    // The leader learns at once that a request suspected elsewhere is harmless.
+    if (cases.some((one) => isProved(one.requestKey))) notifyLeader();
   }
 
   return {
     judge(requestKey) {
       if (isProved(requestKey)) return { type: "free" };
-      const leftMs = (told.get(requestKey)?.heldUntilMs ?? 0) - now();
+      const leftMs = (knownCases.get(requestKey)?.heldUntilMs ?? 0) - now();
       if (leftMs > 0) return { type: "held", leftMs };
-      const engineIds = listEnds(requestKey);
+      const engineIds = listCrashedUpstreams(requestKey);
       return { type: needsTrial({ engineIds }) ? "trial" : "free" };
     },
     isSuspect: (requestKey) =>
-      !isProved(requestKey) && listEnds(requestKey).length > 0,
+      !isProved(requestKey) && listCrashedUpstreams(requestKey).length > 0,
     noteCrash({ requestKey, engineId }) {
       if (isProved(requestKey)) return;
-      const isKnown = listEnds(requestKey).includes(engineId);
+      const isKnown = listCrashedUpstreams(requestKey).includes(engineId);
       if (isKnown) return;
-      reports = [...listUntold(), { requestKey, engineId, atMs: now() }]
+      reports = [...listUnlisted(), { requestKey, engineId, atMs: now() }]
         .slice(-MAX_REPORTS);
-      onNews();
+      notifyLeader();
     },
     async untilTold(requestKey) {
-      const untilMs = now() + MAX_TELL_WAIT_MS;
-      const isOpen = () =>
-        listUntold().some((one) => one.requestKey === requestKey);
-      while (isOpen() && now() < untilMs) {
-        await new Promise((resolve) => setTimeout(resolve, TELL_POLL_MS));
+      const untilMs = now() + MAX_REPORT_WAIT_MS;
+      const isPending = () =>
+        listUnlisted().some((one) => one.requestKey === requestKey);
+      while (isPending() && now() < untilMs) {
+        await new Promise((resolve) => setTimeout(resolve, REPORT_POLL_MS));
       }
     },
     noteProved(requestKey) {
@@ -232,55 +237,57 @@
       proofs.set(requestKey, now());
       forgetOldest(proofs, MAX_PROOFS);
       reports = reports.filter((one) => one.requestKey !== requestKey);
-      if (told.has(requestKey)) onNews();
+      if (knownCases.has(requestKey)) notifyLeader();
     },
-    takeTrial(wish) {
-      const { requestKey } = wish;
+    takeTrial(request) {
+      const { requestKey } = request;
       if (isOnTrial(requestKey)) return undefined;
       const grant = grants.get(requestKey);
       grants.delete(requestKey);
       if (grant && now() < grant.untilMs) {
-        wishes.delete(requestKey);
+        trialRequests.delete(requestKey);
         onTrialUntilMs.set(requestKey, now() + MAX_TRIAL_MS);
         return grant.engineId;
       }
-      const isNew = !wishes.has(requestKey);
-      wishes.set(requestKey, { ...wish, atMs: now() });
-      if (isNew) onNews();
+      const isNew = !trialRequests.has(requestKey);
+      trialRequests.set(requestKey, { ...request, atMs: now() });
+      if (isNew) notifyLeader();
       return undefined;
     },
     endTrial(requestKey) {
       onTrialUntilMs.delete(requestKey);
       trialsEnded.add(requestKey);
-      onNews();
+      notifyLeader();
     },
     noteSent({ requestKey, engineId }) {
-      const fresh = sent.filter(({ atMs }) => now() - atMs < APART_MS);
-      sent = [...fresh, { requestKey, engineId, atMs: now() }];
+      const fresh = recentSends.filter(({ atMs }) =>
+        now() - atMs < SUSPECT_SPACING_MS
+      );
+      recentSends = [...fresh, { requestKey, engineId, atMs: now() }];
     },
     listTaken: (requestKey) =>
-      sent
+      recentSends
         .filter((one) =>
-          one.requestKey !== requestKey && now() - one.atMs < APART_MS
+          one.requestKey !== requestKey && now() - one.atMs < SUSPECT_SPACING_MS
         )
         .map(({ engineId }) => engineId),
     takeWhole(cases) {
-      told = new Map();
-      takeChange({ cases, cleared: [] });
+      knownCases = new Map();
+      applyChange({ cases, cleared: [] });
     },
-    takeCases: takeChange,
+    takeCases: applyChange,
     takeGrant({ requestKey, engineId, askedMs }) {
-      // One wish may be told twice, and answered twice.
+      // A trial request may be sent twice, and granted twice.
       if (isOnTrial(requestKey)) return;
       grants.set(requestKey, { engineId, untilMs: askedMs + TRIAL_MS });
-      dropOldWishes();
-      if (trialsEnded.has(requestKey)) onNews();
+      dropExpiredRequests();
+      if (trialsEnded.has(requestKey)) notifyLeader();
     },
     getTold() {
-      const crashes = listUntold()
+      const crashes = listUnlisted()
         .map(({ requestKey, engineId }) => ({ requestKey, engineId }));
-      const proved = [...told.keys()].filter(isProved);
-      const trialsWanted = listWishes();
+      const proved = [...knownCases.keys()].filter(isProved);
+      const trialsWanted = listTrialRequests();
       const ended = [...trialsEnded];
       trialsEnded = new Set();
       return {
@@ -291,8 +298,10 @@
       };
     },
     count() {
-      const held = [...told.values()].filter((one) => one.heldUntilMs > now());
-      return { suspects: told.size, held: held.length };
+      const held = [...knownCases.values()].filter((one) =>
+        one.heldUntilMs > now()
+      );
+      return { suspects: knownCases.size, held: held.length };
     },
   };
 }
--- a/src/gateway/create_quarantine_test.ts
+++ b/src/gateway/create_quarantine_test.ts
@@ -5,24 +5,24 @@
 import { createQuarantine } from "./create_quarantine.ts";
 
 function start() {
-  const state = { nowMs: 0, news: 0 };
+  const state = { nowMs: 0, updates: 0 };
   const quarantine = createQuarantine({
-    onNews: () => state.news += 1,
+    onNews: () => state.updates += 1,
     now: () => state.nowMs,
   });
-  const tell = (cases: readonly ToldCase[], cleared: string[] = []) =>
+  const publish = (cases: readonly ToldCase[], cleared: string[] = []) =>
     quarantine.takeCases({ type: "cases", cases, cleared });
-  return { state, quarantine, tell };
+  return { state, quarantine, publish };
 }
 
 function makeCase(fields: Partial<ToldCase> = {}): ToldCase {
   return { requestKey: "r", engineIds: ["e1", "e2"], heldMs: 0, ...fields };
 }
 
-test("one end is told at once, and the request stays free", () => {
+test("one crash is reported at once, and the request stays free", () => {
   const { state, quarantine } = start();
   quarantine.noteCrash({ requestKey: "r", engineId: "e1" });
-  assert.is(state.news, 1);
+  assert.is(state.updates, 1);
   assert.equal(quarantine.getTold().crashes, [
     { requestKey: "r", engineId: "e1" },
   ]);
@@ -31,27 +31,27 @@
   assert.not.ok(quarantine.isSuspect("other"));
 });
 
-test("what was seen here and elsewhere adds up", () => {
-  const { quarantine, tell } = start();
-  tell([makeCase({ engineIds: ["e1"] })]);
+test("crashes seen here and at other gateways add up", () => {
+  const { quarantine, publish } = start();
+  publish([makeCase({ engineIds: ["e1"] })]);
   quarantine.noteCrash({ requestKey: "r", engineId: "e1" });
   assert.is(quarantine.judge("r").type, "free");
   quarantine.noteCrash({ requestKey: "r", engineId: "e2" });
   assert.is(quarantine.judge("r").type, "trial");
 });
 
-test("a report is told until the list has it", () => {
-  const { quarantine, tell } = start();
+test("a crash is reported until the leader lists it", () => {
+  const { quarantine, publish } = start();
   quarantine.noteCrash({ requestKey: "r", engineId: "e1" });
   assert.ok(quarantine.getTold().crashes);
   assert.ok(quarantine.getTold().crashes);
-  tell([makeCase({ engineIds: ["e1"] })]);
+  publish([makeCase({ engineIds: ["e1"] })]);
   assert.is(quarantine.getTold().crashes, undefined);
 });
 
-test("what is told counts, whichever leader tells it", () => {
-  const { state, quarantine, tell } = start();
-  tell([makeCase({ heldMs: 1_000 })]);
+test("cases of the leader apply, and a new leader replaces them", () => {
+  const { state, quarantine, publish } = start();
+  publish([makeCase({ heldMs: 1_000 })]);
   assert.equal(quarantine.judge("r"), { type: "held", leftMs: 1_000 });
   state.nowMs = 999;
   assert.is(quarantine.judge("r").type, "held");
@@ -63,77 +63,77 @@
   assert.equal(quarantine.count(), { suspects: 1, held: 1 });
 });
 
-test("a trial is asked for, used once, and runs out", () => {
-  const { state, quarantine, tell } = start();
-  tell([makeCase()]);
-  const wish = { requestKey: "r", engineIds: ["e3", "e4"] };
-  assert.is(quarantine.takeTrial(wish), undefined);
-  assert.equal(quarantine.getTold().trialsWanted, [wish]);
+test("a trial is requested, used once, and expires", () => {
+  const { state, quarantine, publish } = start();
+  publish([makeCase()]);
+  const request = { requestKey: "r", engineIds: ["e3", "e4"] };
+  assert.is(quarantine.takeTrial(request), undefined);
+  assert.equal(quarantine.getTold().trialsWanted, [request]);
   const grant = { type: "trial", requestKey: "r", engineId: "e4" } as const;
   quarantine.takeGrant({ ...grant, askedMs: 0 });
-  assert.is(quarantine.takeTrial(wish), "e4");
-  assert.is(quarantine.takeTrial(wish), undefined);
+  assert.is(quarantine.takeTrial(request), "e4");
+  assert.is(quarantine.takeTrial(request), undefined);
   quarantine.takeGrant({ ...grant, askedMs: 0 });
   state.nowMs = TRIAL_MS;
-  assert.is(quarantine.takeTrial(wish), undefined);
+  assert.is(quarantine.takeTrial(request), undefined);
 });
 
-test("one try of a request is on trial at a time, and its end is told once", () => {
-  const { quarantine, tell } = start();
-  tell([makeCase()]);
-  const wish = { requestKey: "r", engineIds: ["e3", "e4"] };
+test("one attempt of a request is on trial at a time, and its end is reported once", () => {
+  const { quarantine, publish } = start();
+  publish([makeCase()]);
+  const request = { requestKey: "r", engineIds: ["e3", "e4"] };
   const grant = { type: "trial", requestKey: "r", engineId: "e4" } as const;
-  quarantine.takeTrial(wish);
+  quarantine.takeTrial(request);
   quarantine.takeGrant({ ...grant, askedMs: 0 });
-  assert.is(quarantine.takeTrial(wish), "e4");
+  assert.is(quarantine.takeTrial(request), "e4");
   quarantine.takeGrant({ ...grant, askedMs: 0 });
-  assert.is(quarantine.takeTrial(wish), undefined);
+  assert.is(quarantine.takeTrial(request), undefined);
   assert.is(quarantine.getTold().trialsEnded, undefined);
   quarantine.endTrial("r");
   assert.equal(quarantine.getTold().trialsEnded, ["r"]);
   assert.is(quarantine.getTold().trialsEnded, undefined);
-  quarantine.takeTrial(wish);
+  quarantine.takeTrial(request);
   quarantine.takeGrant({ ...grant, askedMs: 0 });
-  assert.is(quarantine.takeTrial(wish), "e4");
+  assert.is(quarantine.takeTrial(request), "e4");
 });
 
-test("a trial that nobody waits for any more is given back", () => {
-  const { state, quarantine, tell } = start();
-  tell([makeCase()]);
-  const wish = { requestKey: "r", engineIds: ["e4"] };
+test("a trial that no call waits for any more is released", () => {
+  const { state, quarantine, publish } = start();
+  publish([makeCase()]);
+  const request = { requestKey: "r", engineIds: ["e4"] };
   const grant = { type: "trial", requestKey: "r", engineId: "e4" } as const;
-  quarantine.takeTrial(wish);
+  quarantine.takeTrial(request);
   quarantine.takeGrant({ ...grant, askedMs: 0 });
   state.nowMs = 1_000;
   assert.equal(quarantine.getTold().trialsEnded, ["r"]);
-  assert.is(quarantine.takeTrial(wish), undefined);
+  assert.is(quarantine.takeTrial(request), undefined);
   state.nowMs = 2_000;
   quarantine.takeGrant({ ...grant, askedMs: 1_000 });
   assert.equal(quarantine.getTold().trialsEnded, ["r"]);
 });
 
-test("what an upstream ran well is suspected neither before nor after", () => {
-  const { state, quarantine, tell } = start();
+test("a request that ran without a crash is not suspected, whether reported before or after", () => {
+  const { state, quarantine, publish } = start();
   quarantine.noteProved("hot");
   quarantine.noteCrash({ requestKey: "hot", engineId: "e1" });
   assert.equal(quarantine.getTold(), {});
-  tell([makeCase({ requestKey: "hot" })]);
-  assert.is(state.news, 1, "who knows better says so at once");
+  publish([makeCase({ requestKey: "hot" })]);
+  assert.is(state.updates, 1, "a contradicting proof is reported at once");
   assert.equal(quarantine.getTold().proved, ["hot"]);
   assert.is(quarantine.judge("hot").type, "free");
-  tell([], ["hot"]);
+  publish([], ["hot"]);
   assert.equal(quarantine.getTold(), {});
 });
 
-test("an end that another request is convicted for is no longer told", () => {
-  const { quarantine, tell } = start();
+test("a crash for which another request is convicted is no longer reported", () => {
+  const { quarantine, publish } = start();
   quarantine.noteCrash({ requestKey: "beside", engineId: "e2" });
-  tell([makeCase({ heldMs: 1_000 })]);
+  publish([makeCase({ heldMs: 1_000 })]);
   assert.is(quarantine.getTold().crashes, undefined);
   assert.not.ok(quarantine.isSuspect("beside"));
 });
 
-test("suspected requests of one gateway begin apart from each other", () => {
+test("suspected requests of one gateway do not begin on the same upstream together", () => {
   const { state, quarantine } = start();
   quarantine.noteSent({ requestKey: "a", engineId: "e1" });
   assert.equal(quarantine.listTaken("b"), ["e1"]);
--- a/src/gateway/create_run_permit.ts
+++ b/src/gateway/create_run_permit.ts
@@ -1,5 +1,5 @@
 /**
- * Whether a call may be sent on, as the quarantine judges its request.
+ * Decides from the quarantine verdict on a request whether its call may be sent.
  *
  * @module
  */
@@ -9,56 +9,56 @@
 import type { EngineView } from "./engine_view.ts";
 import type { Call, ServingContext } from "./types.ts";
 
-/** What a call may do now. */
-export type PermitAnswer =
+/** Whether a call may be sent now. */
+export type PermitDecision =
   | {
     readonly type: "go";
-    /** Upstream where it has to begin, as the only suspect; absent if free. */
+    /** Upstream of the trial, where it runs as the only suspect; absent if free. */
     readonly trialEngineId?: string;
   }
-  /** A trial is asked for: it is to be asked again in a moment. */
+  /** A trial has been requested: check again after PERMIT_POLL_MS. */
   | { readonly type: "wait" }
   | HeldAnswer;
 
-/** It can't be sent on, and may come again after a while. */
+/** The call is held back, and may be retried later. */
 export interface HeldAnswer {
   readonly type: "held";
-  /** Ms until then. */
+  /** Ms until it may be retried. */
   readonly leftMs: number;
-  /** Whether it was convicted, or only had no turn to prove itself. */
+  /** Whether its request was convicted, or got no trial in time. */
   readonly reason: "held_back" | "awaits_trial";
 }
 
-/** Permits the sends of one call. */
+/** Decides on each send of one call. */
 export interface RunPermit {
   ask(options: {
     /** Upstreams that failed the call. */
     readonly excluded: ReadonlySet<string>;
-  }): PermitAnswer;
-  /** Notes that the call was sent to an upstream. */
+  }): PermitDecision;
+  /** Records that the call was sent to an upstream. */
   noteSent(engineId: string): void;
-  /** Notes that a run has ended, and that what came of it is told. */
+  /** Records that a run has ended and its result was reported. */
   noteRunEnd(): void;
 }
 
-/** Ms between two questions. */
+/** Interval, in ms, between two checks of a call that waits for a trial. */
 export const PERMIT_POLL_MS = 20;
 
-/** Ms that a call waits for a trial: others go first, each for half a second. */
+/** Longest wait, in ms, for a trial: earlier trials take half a second each. */
 const MAX_TRIAL_WAIT_MS = 1_000;
 
-/** Share by which a hold is drawn out at random: callers don't come together. */
-const SPREAD_SHARE = 0.1;
+/** Share by which a hold is randomly extended, so that callers don't retry together. */
+const JITTER_SHARE = 0.1;
 
 /**
- * Makes the permits of one call.
+ * Creates the permit of one call.
  *
  * @param call - The call.
  * @param context - The quarantine and the upstreams.
- * @returns The permits.
+ * @returns The permit.
  * @throws Nothing.
  * @example
- * const answer = permit.ask({ excluded });
+ * const decision = permit.request({ excluded });
  */
 export function createRunPermit(
   call: Call,
@@ -68,13 +68,13 @@
   const { requestKey } = call;
   let trialEngineId: string | undefined;
   let isOnTrial = false;
-  let waitsSinceMs: number | undefined;
+  let waitingSinceMs: number | undefined;
 
-  function askForTrial(excluded: ReadonlySet<string>): PermitAnswer {
+  function requestTrial(excluded: ReadonlySet<string>): PermitDecision {
     const engineIds = listBeginners(call, context)
       .map(({ record }) => record.engineId)
       .filter((id) => !excluded.has(id) && rateLimits.hasSendLeft(id));
-    // Its upstream may be gone by the time that there is room or a repeat.
+    // The upstream may have departed while the call waited for capacity or a retry.
     if (trialEngineId !== undefined && !engineIds.includes(trialEngineId)) {
       endTrial();
     }
@@ -83,8 +83,8 @@
       isOnTrial = true;
       return { type: "go", trialEngineId };
     }
-    waitsSinceMs ??= now();
-    return now() - waitsSinceMs < MAX_TRIAL_WAIT_MS
+    waitingSinceMs ??= now();
+    return now() - waitingSinceMs < MAX_TRIAL_WAIT_MS
       ? { type: "wait" }
       : { type: "held", leftMs: MAX_TRIAL_WAIT_MS, reason: "awaits_trial" };
   }
@@ -99,11 +99,11 @@
     ask({ excluded }) {
       const verdict = quarantine.judge(requestKey);
       if (verdict.type === "held") return { ...verdict, reason: "held_back" };
-      return verdict.type === "trial" ? askForTrial(excluded) : { type: "go" };
+      return verdict.type === "trial" ? requestTrial(excluded) : { type: "go" };
     },
     noteSent(engineId) {
       trialEngineId = undefined;
-      waitsSinceMs = undefined;
+      waitingSinceMs = undefined;
       if (quarantine.isSuspect(requestKey)) {
         quarantine.noteSent({ requestKey, engineId });
       }
@@ -113,14 +113,14 @@
 }
 
 /**
- * Lists the upstreams at which a call may begin, the least loaded first.
+ * Lists the upstreams at which a call may begin, least loaded first.
  *
  * @param call - The call.
  * @param context - The upstreams.
  * @returns The upstreams.
  * @throws Nothing.
  * @example
- * const [first] = listBeginners(call, context);
+ * const [first] = listFirstUpstreams(call, context);
  */
 export function listBeginners(
   call: Call,
@@ -134,16 +134,16 @@
 }
 
 /**
- * Ends a call that is held back: it has not run where nothing of it was sent.
+ * Refuses a call that is held back: 503 if nothing of it was sent, otherwise 502.
  *
  * @param call - The call.
- * @param context - Where it is told, and chance.
- * @param options - The call's end, why and for how long, and whether it was sent
- * before.
+ * @param context - The log and the source of randomness.
+ * @param options - The end of the call, why and for how long it is held, and whether
+ * it was sent before.
  * @returns Nothing.
  * @throws Nothing.
  * @example
- * holdBack(call, context, { callEnd, held, hasRun: runs > 0 });
+ * refuseHeldCall(call, context, { callEnd, held, hasRun: runs > 0 });
  */
 export function holdBack(
   call: Call,
@@ -158,8 +158,8 @@
   const { leftMs, reason } = options.held;
   const { requestId } = call.request;
   const { requestKey } = call;
-  const spread = 1 + SPREAD_SHARE * context.random();
-  const retryAfterMs = Math.round(leftMs * spread);
+  const jitter = 1 + JITTER_SHARE * context.random();
+  const retryAfterMs = Math.round(leftMs * jitter);
   context.log("requestHeldBack", {
     requestId,
     requestKey,
--- a/src/gateway/create_run_permit_test.ts
+++ b/src/gateway/create_run_permit_test.ts
@@ -9,13 +9,13 @@
 const CALL = { service: "s", requestKey: "k" } as Call;
 
 function makePermit(usable: string[]) {
-  const wishes: (readonly string[])[] = [];
+  const requested: (readonly string[])[] = [];
   const ended: string[] = [];
   const context = {
     quarantine: {
       judge: () => ({ type: "trial" }),
       takeTrial({ engineIds }: { engineIds: readonly string[] }) {
-        wishes.push(engineIds);
+        requested.push(engineIds);
         return engineIds[0];
       },
       endTrial: (key: string) => void ended.push(key),
@@ -28,27 +28,27 @@
     getTable: () => undefined,
     now: () => 0,
   } as unknown as ServingContext;
-  return { permit: createRunPermit(CALL, context), wishes, ended };
+  return { permit: createRunPermit(CALL, context), requested, ended };
 }
 
-test("a trial at an upstream that rests by now ends, and is asked for elsewhere", () => {
-  // The table lists nobody who rests.
+test("a trial on an upstream that is now backed off ends, and is requested elsewhere", () => {
+  // The engine table does not list backed-off upstreams.
   const usable = ["a", "b"];
-  const { permit, wishes, ended } = makePermit(usable);
+  const { permit, requested, ended } = makePermit(usable);
   const excluded = new Set<string>();
   assert.equal(permit.ask({ excluded }), { type: "go", trialEngineId: "a" });
   usable.shift();
   assert.equal(permit.ask({ excluded }), { type: "go", trialEngineId: "b" });
-  assert.equal(wishes, [["a", "b"], ["b"]]);
+  assert.equal(requested, [["a", "b"], ["b"]]);
   assert.equal(ended, ["k"]);
 });
 
-test("a trial that has its upstream still is not asked for again", () => {
-  const { permit, wishes } = makePermit(["a"]);
+test("a trial whose upstream is still usable is not requested again", () => {
+  const { permit, requested } = makePermit(["a"]);
   const excluded = new Set<string>();
   permit.ask({ excluded });
   permit.ask({ excluded });
-  assert.is(wishes.length, 1);
+  assert.is(requested.length, 1);
 });
 
 test.run();
--- a/src/gateway/create_run_record.ts
+++ b/src/gateway/create_run_record.ts
@@ -1,5 +1,5 @@
 /**
- * The upstreams on which one call has run.
+ * Records the upstreams on which a call has run.
  *
  * @module
  */
@@ -7,9 +7,9 @@
 import type { EndCheck, UpstreamAddress } from "./create_end_check.ts";
 import type { EngineTable } from "./create_engine_table.ts";
 
-/** What a call's runs are counted by. */
+/** The limit on a call's upstreams, and how crashes are detected. */
 export interface CreateRunRecordOptions {
-  /** Upstreams on which the call may run. */
+  /** Number of upstreams on which the call may run. */
   readonly maxAttempts: number;
   readonly engines: Pick<EngineTable, "get" | "hasEnded" | "noteEnded">;
   readonly endCheck: EndCheck;
@@ -24,48 +24,48 @@
 
 /** The upstreams on which one call has run. */
 export interface RunRecord {
-  /** Notes that the call ran there. */
+  /** Records that the call ran on an upstream. */
   note(upstream: UpstreamAddress): void;
   /**
-   * Whether the call may run on another upstream; those that have ended, as far as is
-   * known, don't count.
+   * Whether the call may run on another upstream. Upstreams known to have crashed
+   * don't count.
    */
   mayRunElsewhere(): boolean;
-  /** Finds out which of them have ended; never rejects. */
+  /** Checks which of the upstreams have crashed; never rejects. */
   checkEnds(): Promise<void>;
   describe(): readonly DescribedRun[];
 }
 
 /**
- * Makes the record of one call, empty.
+ * Creates an empty record for one call.
  *
- * @param options - How many upstreams it may run on, and how their ends are known.
+ * @param options - How many upstreams it may run on, and how crashes are detected.
  * @returns The record.
  * @throws Nothing.
  * @example
- * const runRecord = createRunRecord({ maxAttempts, engines, endCheck });
+ * const runRecord = createRunRecord({ maxAttempts, engines, livenessCheck });
  */
 export function createRunRecord(options: CreateRunRecordOptions): RunRecord {
   const { maxAttempts, engines, endCheck } = options;
   const ranOn = new Map<string, UpstreamAddress>();
 
-  function listCounted(): UpstreamAddress[] {
+  function listPossiblyAlive(): UpstreamAddress[] {
     return [...ranOn.values()]
       .filter(({ engineId }) => !engines.hasEnded(engineId));
   }
 
-  async function checkEnd(upstream: UpstreamAddress): Promise<void> {
-    const presence = await endCheck.check(upstream);
-    if (presence === "ended") engines.noteEnded(upstream.engineId);
+  async function checkLiveness(upstream: UpstreamAddress): Promise<void> {
+    const liveness = await endCheck.check(upstream);
+    if (liveness === "ended") engines.noteEnded(upstream.engineId);
   }
 
   return {
     note(upstream) {
       ranOn.set(upstream.engineId, upstream);
     },
-    mayRunElsewhere: () => listCounted().length < maxAttempts,
+    mayRunElsewhere: () => listPossiblyAlive().length < maxAttempts,
     async checkEnds() {
-      await Promise.all(listCounted().map(checkEnd));
+      await Promise.all(listPossiblyAlive().map(checkLiveness));
     },
     describe: () =>
       [...ranOn.keys()].map((engineId) => ({
--- a/src/gateway/create_run_record_test.ts
+++ b/src/gateway/create_run_record_test.ts
@@ -1,9 +1,9 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import type { UpstreamPresence } from "./create_end_check.ts";
+import type { UpstreamLiveness } from "./create_end_check.ts";
 import { createRunRecord } from "./create_run_record.ts";
 
-function startRecord(presences: Readonly<Record<string, UpstreamPresence>>) {
+function makeRecord(liveness: Readonly<Record<string, UpstreamLiveness>>) {
   const ended = new Set<string>();
   const record = createRunRecord({
     maxAttempts: 2,
@@ -13,24 +13,24 @@
       noteEnded: (engineId) => void ended.add(engineId),
     },
     endCheck: {
-      check: ({ engineId }) => Promise.resolve(presences[engineId]),
+      check: ({ engineId }) => Promise.resolve(liveness[engineId]),
     },
   });
-  for (const engineId of Object.keys(presences)) {
+  for (const engineId of Object.keys(liveness)) {
     record.note({ engineId, address: `${engineId}:80` });
   }
   return record;
 }
 
-test("an upstream that has ended doesn't count, once that is found out", async () => {
-  const record = startRecord({ e1: "ended", e2: "listening" });
+test("an upstream that crashed no longer counts once a check has found it", async () => {
+  const record = makeRecord({ e1: "ended", e2: "listening" });
   assert.not(record.mayRunElsewhere());
   await record.checkEnds();
   assert.ok(record.mayRunElsewhere());
 });
 
-test("upstreams that are there, or say nothing, count", async () => {
-  const record = startRecord({ e1: "unknown", e2: "listening" });
+test("upstreams that are alive or unresponsive count", async () => {
+  const record = makeRecord({ e1: "unknown", e2: "listening" });
   await record.checkEnds();
   assert.not(record.mayRunElsewhere());
 });
--- a/src/gateway/find_upstream_end.ts
+++ b/src/gateway/find_upstream_end.ts
@@ -1,5 +1,5 @@
 /**
- * Looks whether a run that broke off ended together with its upstream.
+ * Detects whether a run broke off because its upstream crashed.
  *
  * @module
  */
@@ -9,31 +9,31 @@
 
 /** A run that broke off. */
 export interface BrokenRun {
-  /** Upstream at which it broke. */
+  /** Upstream on which it ran. */
   readonly upstream: UpstreamAddress;
   /** When it was sent, in ms. */
   readonly sentMs: number;
-  /** When its first event came, in ms; undefined before there was one. */
+  /** When its first event arrived, in ms; undefined if none did. */
   readonly firstEventMs: number | undefined;
 }
 
 /**
- * Ms after its first event within which a run had only just begun. Requests that
- * end their upstream do so 17 to 120 ms after it began with them (by the
- * operators' record of one day); twice that is left for news of the end.
+ * Time, in ms, after its first event for which a run counts as just begun. Requests
+ * that crash their upstream do so 17 to 120 ms after it began to process them; twice
+ * that leaves time to notice the crash.
  */
 const JUST_BEGUN_MS = 250;
 
-/** Ms after its first event after which a run has shown that it ends nothing. */
+/** Time, in ms, after its first event when a run has proved that it crashes nothing. */
 const PROVED_MS = 500;
 
 /**
- * Tells whether a run had only just begun: one that has given events for a while
- * did not end its upstream.
+ * Checks whether a run had only just begun: a run that has produced events for longer
+ * did not crash its upstream.
  *
- * @param run - When its first event came.
+ * @param run - When its first event arrived.
  * @param nowMs - Monotonic time, in ms.
- * @returns Whether it had.
+ * @returns Whether it had just begun.
  * @throws Nothing.
  * @example
  * const isSuspect = hasJustBegun({ firstEventMs: undefined }, now());
@@ -47,11 +47,11 @@
 }
 
 /**
- * Tells whether a run has gone on for long enough to prove its request.
+ * Checks whether a run has lasted long enough to prove its request harmless.
  *
- * @param run - When its first event came.
+ * @param run - When its first event arrived.
  * @param nowMs - Monotonic time, in ms.
- * @returns Whether it has.
+ * @returns Whether it has lasted long enough.
  * @throws Nothing.
  * @example
  * if (isProved(run, now())) quarantine.noteProved(requestKey);
@@ -65,16 +65,16 @@
 }
 
 /**
- * Looks whether the upstream of a broken run has ended. If so the quarantine is
- * told, and the call goes on only once all gateways know.
+ * Checks whether the upstream of a broken run has crashed. If so, reports it to the
+ * quarantine, and resolves only once all gateways know or a short timeout has passed.
  *
  * @param call - The call.
- * @param context - How upstreams are probed, and where it is told.
+ * @param context - The liveness check, the quarantine, logs and metrics.
  * @param run - The run.
- * @returns Whether the upstream surely ended while the run had just begun there.
+ * @returns Whether the upstream has certainly crashed just after the run began.
  * @throws Nothing.
  * @example
- * const isSuspect = await findUpstreamEnd(call, context, run);
+ * const isSuspect = await detectUpstreamCrash(call, context, run);
  */
 export async function findUpstreamEnd(
   call: Call,
@@ -89,9 +89,9 @@
   const brokeMs = context.now();
   const isSuspect = hasJustBegun(run, brokeMs);
   if (!isSuspect && !context.leftRuns.has(engineId)) return false;
-  const presence = await context.endCheck.check(upstream);
+  const liveness = await context.endCheck.check(upstream);
   context.metrics.count("upstream.end_checks");
-  if (presence !== "ended") return false;
+  if (liveness !== "ended") return false;
   for (const requestKey of context.leftRuns.take(engineId)) {
     context.quarantine.noteCrash({ requestKey, engineId });
   }
--- a/src/gateway/take_refusal.ts
+++ b/src/gateway/take_refusal.ts
@@ -1,5 +1,5 @@
 /**
- * What follows for engines from a refusal of a stream's request.
+ * Updates the state of engines after one refused the request of a stream.
  *
  * @module
  */
@@ -9,36 +9,36 @@
 import type { StreamRun } from "./start_stream_run.ts";
 import type { Call, ServingContext } from "./types.ts";
 
-/** The run that was refused, and with what. */
-export interface TakeRefusalOptions {
+/** The refused run, and the answer. */
+export interface HandleRefusalOptions {
   readonly sent: Pick<StreamRun, "path" | "sentMs">;
   readonly head: UpstreamHead;
 }
 
-/** Status of an engine that isn't the one that was meant, or not its part. */
-const MISDIRECTED = 421;
+/** Status of an engine that was not the intended one, or does not hold the layers. */
+const MISDIRECTED_STATUS = 421;
 
-/** Ms after which a refusal tells of an engine that is dead, not full. */
-const DEAD_REFUSAL_MS = 1_000;
+/** Time, in ms, after which a refusal means that an engine is dead, not full. */
+const DEAD_ENGINE_REFUSAL_MS = 1_000;
 
 /**
- * Takes a refusal: the engine at fault is left out for a moment, as lost where it
- * seems to be. The back-off is of whoever answered: it is the one that
- * wants nothing. Where it names another engine, that one has no room either for as
- * long. One that has answered with a wish of its own is not lost, however late.
+ * Handles a refusal: the engine at fault is excluded for a while, as suspected if it
+ * seems to be dead. A back-off applies to the engine that answered. If the answer names
+ * another engine at fault, that one is backed off for the same time. An engine that
+ * asked for its own back-off is not dead, however late it answered.
  *
  * @param call - The call.
  * @param context - The engines.
- * @param options - The run and the answer.
+ * @param options - The refused run, and the answer.
  * @returns The engine at fault.
  * @throws Nothing.
  * @example
- * excluded.add(takeRefusal(call, context, { sent, head }));
+ * excluded.add(handleRefusal(call, context, { sent, head }));
  */
 export function takeRefusal(
   call: Call,
   context: ServingContext,
-  { sent, head }: TakeRefusalOptions,
+  { sent, head }: HandleRefusalOptions,
 ): string {
   const { engines, notices, runWatch, now, log } = context;
   const { status, backOffMs, faultAddress } = head;
@@ -47,11 +47,11 @@
     first;
   const { engineId } = faulty;
   const tookMs = Math.round(now() - sent.sentMs);
-  const namesOther = backOffMs !== undefined && faulty !== first;
-  if (namesOther) notices.take(engineId, { backOffMs, isLeaving: false });
-  const hasOwnWish = backOffMs !== undefined && !namesOther;
-  const isDead = tookMs > DEAD_REFUSAL_MS && !hasOwnWish;
-  if (status === MISDIRECTED || isDead) {
+  const namesOtherEngine = backOffMs !== undefined && faulty !== first;
+  if (namesOtherEngine) notices.take(engineId, { backOffMs, isLeaving: false });
+  const isOwnBackOff = backOffMs !== undefined && !namesOtherEngine;
+  const isDead = tookMs > DEAD_ENGINE_REFUSAL_MS && !isOwnBackOff;
+  if (status === MISDIRECTED_STATUS || isDead) {
     engines.suspect(engineId, `refused with ${status}`);
   } else {
     engines.noteFull(engineId);
--- a/src/gateway/take_refusal_test.ts
+++ b/src/gateway/take_refusal_test.ts
@@ -41,33 +41,33 @@
   return { ...seen, faulty };
 }
 
-test("an engine without room is left out for a moment and asked", () => {
+test("a full engine is excluded for a while and checked", () => {
   const { faulty, full, suspected, asked } = refuse({});
   assert.is(faulty, "e1");
   assert.equal([full, suspected, asked], [["e1"], [], ["e1"]]);
 });
 
-test("one that asks for rest is neither asked nor suspected, however late", () => {
+test("an engine that asks for a back-off is neither checked nor suspected, however late", () => {
   for (const tookMs of [2, 5_000]) {
     const { full, suspected, asked } = refuse({ backOffMs: 300 }, { tookMs });
     assert.equal([full, suspected, asked], [["e1"], [], []]);
   }
 });
 
-test("one that is named as at fault rests as long as the one that answered", () => {
+test("an engine named as at fault is backed off as long as the one that answered", () => {
   const head = { backOffMs: 300, faultAddress: "e2:80" };
   const { faulty, resting, suspected } = refuse(head);
   assert.is(faulty, "e2");
   assert.equal([resting, suspected], [["e2"], []]);
 });
 
-test("one that is named late is dead, whatever the other one wants", () => {
+test("an engine named in a late answer is suspected, even if the answer asks for a back-off", () => {
   const head = { backOffMs: 300, faultAddress: "e2:80" };
   const { suspected } = refuse(head, { tookMs: 2_100 });
   assert.equal(suspected, ["e2"]);
 });
 
-test("one that isn't the one that was meant is suspected", () => {
+test("an engine that is not the intended one is suspected", () => {
   assert.equal(refuse({ status: 421 }).suspected, ["e1"]);
 });
 
