--- a/src/gateway/create_end_rate.ts
+++ b/src/gateway/create_end_rate.ts
@@ -1,32 +1,32 @@
 /**
- * Observes how often streams end and leave room for others.
+ * Measures how often streams end and free capacity for others.
  *
  * @module
  */
 
-/** The rate at which this gateway's streams end. */
+/** The rate at which streams of this gateway end. */
 export interface EndRate {
   noteEnd(end: { readonly tookMs: number }): void;
-  /** Time, in ms, that the longest of the streams that ended lately took. */
+  /** Duration, in ms, of the longest stream that ended recently. */
   getLongestMs(): number;
-  /** Mean time between two ends, in ms. */
+  /** Mean time, in ms, between the ends of two streams. */
   getIntervalMs(): number;
 }
 
-/** Ms over which ends are counted: about the length of a stream. */
+/** Window, in ms, over which ends are counted: about the duration of a stream. */
 const WINDOW_MS = 2_000;
 
-/** Ms for which an end is remembered: some hundred streams end in it. */
-const MEMORY_MS = 30_000;
+/** Time, in ms, for which an end is kept: enough for some hundred streams. */
+const RETENTION_MS = 30_000;
 
 /**
- * Makes the observer.
+ * Creates the rate, without any ends.
  *
  * @param options - Monotonic time, in ms.
- * @returns The observer.
+ * @returns The rate.
  * @throws Nothing.
  * @example
- * const endRate = createEndRate({ now });
+ * const streamEndRate = createStreamEndRate({ now });
  */
 export function createEndRate(
   options: { readonly now: () => number },
@@ -34,18 +34,18 @@
   const { now } = options;
   let ends: { readonly atMs: number; readonly tookMs: number }[] = [];
 
-  function listSince(spanMs: number) {
+  function listWithin(spanMs: number) {
     const sinceMs = now() - spanMs;
     return ends.filter(({ atMs }) => atMs >= sinceMs);
   }
 
   return {
     noteEnd({ tookMs }) {
-      ends = listSince(MEMORY_MS);
+      ends = listWithin(RETENTION_MS);
       ends.push({ atMs: now(), tookMs });
     },
     getLongestMs: () =>
-      Math.max(0, ...listSince(MEMORY_MS).map(({ tookMs }) => tookMs)),
-    getIntervalMs: () => WINDOW_MS / Math.max(1, listSince(WINDOW_MS).length),
+      Math.max(0, ...listWithin(RETENTION_MS).map(({ tookMs }) => tookMs)),
+    getIntervalMs: () => WINDOW_MS / Math.max(1, listWithin(WINDOW_MS).length),
   };
 }
--- a/src/gateway/create_later_refusals.ts
+++ b/src/gateway/create_later_refusals.ts
@@ -1,5 +1,5 @@
 /**
- * Ends calls that can't be sent before a time that is known.
+ * Refuses calls that can't be sent before a known time.
  *
  * @module
  */
@@ -7,35 +7,35 @@
 import type { CallEnd } from "./create_call_end.ts";
 import type { Call, ServingContext } from "./types.ts";
 
-/** Refuses a call of which nothing has run, and says when to come again. */
+/** Refuses a call that has not run, and says when to retry. */
 export interface LaterRefusals {
-  /** Where upstreams are backed off. */
+  /** For calls whose upstreams are backed off. */
   refuseForBackOff(retryAfterMs: number): void;
-  /** Where upstreams are at their rate limits: Ms until one may have a send left. */
+  /** For calls whose upstreams are at their limits; leftMs until a send may be free. */
   refuseForLimit(leftMs: number): void;
 }
 
-/** The call's end, and how far it has come. */
-export interface CreateLaterRefusalsOptions {
+/** The end of the call, and its attempts so far. */
+export interface CreateRetryAfterRefusalsOptions {
   readonly callEnd: CallEnd;
   readonly getProgress: () => { readonly tries: number; readonly runs: number };
 }
 
 /**
- * Makes the refusals of one call.
+ * Creates the refusals of one call.
  *
  * @param call - The call.
- * @param context - The turns of callers that come again, and where it is told.
- * @param options - The call's end, and how far it has come.
+ * @param context - The schedule of retries, and the log.
+ * @param options - The end of the call, and its attempts so far.
  * @returns The refusals.
  * @throws Nothing.
  * @example
- * const { refuseForLimit } = createLaterRefusals(call, context, options);
+ * const { refuseForLimit } = createRetryAfterRefusals(call, context, options);
  */
 export function createLaterRefusals(
   { request, service }: Call,
   { limitReturns, log }: Pick<ServingContext, "limitReturns" | "log">,
-  options: CreateLaterRefusalsOptions,
+  options: CreateRetryAfterRefusalsOptions,
 ): LaterRefusals {
   const { callEnd, getProgress } = options;
 
--- a/src/gateway/create_later_refusals_test.ts
+++ b/src/gateway/create_later_refusals_test.ts
@@ -6,11 +6,11 @@
 
 const CALL = { request: { requestId: "r" }, service: "s" } as Call;
 
-function makeRefusals(turnMs: number) {
+function makeRefusals(slotMs: number) {
   const refused: Parameters<CallEnd["refuse"]>[0][] = [];
   const logged: object[] = [];
   const context = {
-    limitReturns: { getWaitMs: () => turnMs },
+    limitReturns: { getWaitMs: () => slotMs },
     log: (_name: string, fields: object) => void logged.push(fields),
   } as unknown as ServingContext;
   const refusals = createLaterRefusals(CALL, context, {
@@ -22,7 +22,7 @@
   return { refused, logged, ...refusals };
 }
 
-test("a caller comes again in its turn, and not before a send is left", () => {
+test("a caller retries in its slot, and not before a send is available", () => {
   const later = makeRefusals(900);
   later.refuseForLimit(200.5);
   const sooner = makeRefusals(100);
@@ -34,7 +34,7 @@
   assert.is(later.refused[0].status, 503);
 });
 
-test("a refusal for back-offs tells the time that was given", () => {
+test("a refusal for back-offs passes on the given wait", () => {
   const { refused, logged, refuseForBackOff } = makeRefusals(900);
   refuseForBackOff(1_200);
   assert.equal(refused, [
--- a/src/gateway/create_return_schedule.ts
+++ b/src/gateway/create_return_schedule.ts
@@ -1,16 +1,16 @@
 /**
- * Tells callers that were refused for want of room when to come back.
+ * Schedules the retries of callers that were refused for lack of capacity.
  *
  * @module
  */
 
 /** What the schedule needs. */
-export interface CreateReturnScheduleOptions {
-  /** Mean time, in ms, between two ends of the fleet's streams. */
+export interface CreateRetryAfterScheduleOptions {
+  /** Mean time, in ms, between the ends of two streams of the fleet. */
   readonly getEndIntervalMs: (service: string) => number;
-  /** Ms that a caller waits at least; what a full fleet asks for by default. */
+  /** Shortest wait of a caller, in ms; the wait for a full fleet by default. */
   readonly leastWaitMs?: number;
-  /** Gateways that take callers: each gives out its part of the turns. */
+  /** Number of gateways that admit callers; each assigns its part of the slots. */
   readonly getGatewayCount: () => number;
   /** Monotonic time, in ms. */
   readonly now: () => number;
@@ -18,64 +18,64 @@
   readonly random: () => number;
 }
 
-/** Tells callers when to come back. */
+/** Schedules the retries of refused callers. */
 export interface ReturnSchedule {
-  /** Takes the next turn of a service; the time until then, in ms. */
+  /** Takes the next slot of a service; returns the time until then, in ms. */
   getWaitMs(service: string): number;
 }
 
 /**
- * Share of the room that ends leave which is kept for callers that come back;
- * the rest goes to those who ask for the first time.
+ * Share of the capacity freed by ended streams that is reserved for callers that
+ * retry; the rest is for new callers.
  */
-const RETURN_SHARE = 0.5;
+const RETRY_SHARE = 0.5;
 
 /**
- * Ms that a caller waits at least. Callers come back once: one that finds the
- * fleet as full as before is lost, and most losses are made up for after this.
- * Share of requests that stayed refused on two days with trouble, with a short
- * queue for room besides: 0.032 and 0.074 with 700 ms, 0.018 and 0.047 with this.
+ * Shortest wait of a caller, in ms. Callers retry once: a caller that finds the fleet
+ * still full gives up, and the fleet has recovered from most failures after this time.
+ * On two days with failures, with a short capacity queue on top, 0.032 and 0.074 of
+ * requests stayed refused with 700 ms, 0.018 and 0.047 with 2,500 ms.
  */
-const LEAST_WAIT_MS = 2_500;
+const MIN_WAIT_MS = 2_500;
 
-/** Ms that a caller is asked to wait at most; the fleet has changed by then. */
-const MOST_WAIT_MS = 6_000;
+/** Longest wait of a caller, in ms; the state of the fleet has changed by then. */
+const MAX_WAIT_MS = 6_000;
 
-/** Share of a wait by which it is shortened or drawn out at random. */
-const SPREAD_SHARE = 0.2;
+/** Share of a wait by which it is randomly shortened or extended. */
+const JITTER_SHARE = 0.2;
 
 /**
- * Makes the schedule: turns follow each other at a share of the rate at which
- * streams really end, so that callers don't come back together.
+ * Creates the schedule. Slots follow each other at a share of the rate at which
+ * streams end, so that callers don't retry all at once.
  *
- * @param options - The rate of ends, the time and chance.
+ * @param options - The rate of ends, the clock and the source of randomness.
  * @returns The schedule.
  * @throws Nothing.
  * @example
- * const returns = createReturnSchedule(options);
+ * const retries = createRetryAfterSchedule(options);
  */
 export function createReturnSchedule(
-  options: CreateReturnScheduleOptions,
+  options: CreateRetryAfterScheduleOptions,
 ): ReturnSchedule {
-  const { now, random, leastWaitMs = LEAST_WAIT_MS } = options;
-  const turnsMs = new Map<string, number>();
+  const { now, random, leastWaitMs = MIN_WAIT_MS } = options;
+  const slotsMs = new Map<string, number>();
 
-  // One gateway's turns follow each other as many times slower as there are
-  // gateways: all of them together give out the fleet's.
-  function getTurnIntervalMs(service: string): number {
-    const fleetMs = options.getEndIntervalMs(service) / RETURN_SHARE;
-    return fleetMs * options.getGatewayCount();
+  // Each gateway assigns 1/n of the fleet's slots, so its interval is n times the
+  // fleet's.
+  function getSlotIntervalMs(service: string): number {
+    const fleetIntervalMs = options.getEndIntervalMs(service) / RETRY_SHARE;
+    return fleetIntervalMs * options.getGatewayCount();
   }
 
   return {
     getWaitMs(service) {
-      const turnMs = (turnsMs.get(service) ?? 0) + getTurnIntervalMs(service);
+      const slotMs = (slotsMs.get(service) ?? 0) + getSlotIntervalMs(service);
       const earliestMs = now() + leastWaitMs;
-      const latestMs = now() + MOST_WAIT_MS;
-      const nextTurnMs = Math.min(latestMs, Math.max(earliestMs, turnMs));
-      turnsMs.set(service, nextTurnMs);
-      const spread = 1 + SPREAD_SHARE * (2 * random() - 1);
-      return Math.round((nextTurnMs - now()) * spread);
+      const latestMs = now() + MAX_WAIT_MS;
+      const nextSlotMs = Math.min(latestMs, Math.max(earliestMs, slotMs));
+      slotsMs.set(service, nextSlotMs);
+      const jitter = 1 + JITTER_SHARE * (2 * random() - 1);
+      return Math.round((nextSlotMs - now()) * jitter);
     },
   };
 }
--- a/src/gateway/create_room_queue.ts
+++ b/src/gateway/create_room_queue.ts
@@ -1,48 +1,48 @@
 /**
- * New streams that wait a moment for room, in the order in which they came.
+ * A queue of new streams that wait briefly for free capacity, first in, first out.
  *
  * @module
  */
 
 import type { FleetRates } from "./create_fleet_rates.ts";
 
-/** A place in the queue. */
-export interface RoomTurn {
-  /** Whether nobody else waits before it. */
+/** A position in the queue. */
+export interface QueueTicket {
+  /** Whether it is at the head of the queue. */
   isFirst(): boolean;
-  /** Time, in ms, that it is expected to wait from now on. */
+  /** Expected remaining wait, in ms. */
   estimateWaitMs(): number;
-  /** Gives the place up. */
+  /** Leaves the queue. */
   leave(): void;
 }
 
-/** Streams that wait for room. */
+/** Streams that wait for free capacity. */
 export interface RoomQueue {
   isEmpty(): boolean;
-  /** Time, in ms, that one who joins now is expected to wait. */
+  /** Expected wait, in ms, of a stream that joins now. */
   estimateWaitMs(): number;
-  join(): RoomTurn;
+  join(): QueueTicket;
 }
 
-/** What a queue needs to know of the fleet. */
-export interface CreateRoomQueueOptions {
-  /** Mean time, in ms, between two ends of streams, which leave room. */
+/** What a queue needs to know about the fleet. */
+export interface CreateCapacityQueueOptions {
+  /** Mean time, in ms, between the ends of two streams, which free capacity. */
   readonly getEndIntervalMs: () => number;
-  /** Streams that wait for the same room at other gateways. */
+  /** Number of streams that wait for the same capacity at other gateways. */
   readonly getOthersWaiting: () => number;
-  /** Counts one that waits until what it returns is called. */
+  /** Counts a waiting stream until the returned function is called. */
   readonly beginWait: () => () => void;
 }
 
 /**
- * Makes the queues of all services: who waits for one model's engines holds up
- * nobody who asks for another one's.
+ * Creates a queue per service, so that streams that wait for the engines of one model
+ * don't delay those of another.
  *
- * @param rates - What the fleet's streams do.
- * @returns The queue of a service, made when it is first asked for.
+ * @param rates - The stream rates of the fleet.
+ * @returns Gets the queue of a service, which is created on first use.
  * @throws Nothing.
  * @example
- * const getRoomQueue = createRoomQueues(rates);
+ * const getCapacityQueue = createCapacityQueues(rates);
  */
 export function createRoomQueues(
   rates: Pick<
@@ -65,36 +65,38 @@
 }
 
 /**
- * Makes a queue, empty. Room that a stream's end leaves goes to whoever asks
- * first, at any gateway: who waits here expects those who wait elsewhere to go
- * before.
+ * Creates an empty queue. Capacity freed by a stream goes to whichever gateway asks
+ * first, so wait estimates assume that the streams waiting at other gateways go
+ * first.
  *
- * @param options - What the queue needs to know of the fleet.
+ * @param options - What the queue needs to know about the fleet.
  * @returns The queue.
  * @throws Nothing.
  * @example
- * const queue = createRoomQueue(options);
+ * const queue = createCapacityQueue(options);
  */
-export function createRoomQueue(options: CreateRoomQueueOptions): RoomQueue {
-  const turns: RoomTurn[] = [];
-  const estimateWaitMs = (place: number) =>
-    (place + options.getOthersWaiting()) * options.getEndIntervalMs();
+export function createRoomQueue(
+  options: CreateCapacityQueueOptions,
+): RoomQueue {
+  const tickets: QueueTicket[] = [];
+  const estimateWaitMs = (position: number) =>
+    (position + options.getOthersWaiting()) * options.getEndIntervalMs();
   return {
-    isEmpty: () => turns.length === 0,
-    estimateWaitMs: () => estimateWaitMs(turns.length + 1),
+    isEmpty: () => tickets.length === 0,
+    estimateWaitMs: () => estimateWaitMs(tickets.length + 1),
     join() {
       const endWait = options.beginWait();
-      const turn: RoomTurn = {
-        isFirst: () => turns[0] === turn,
-        estimateWaitMs: () => estimateWaitMs(turns.indexOf(turn) + 1),
+      const ticket: QueueTicket = {
+        isFirst: () => tickets[0] === ticket,
+        estimateWaitMs: () => estimateWaitMs(tickets.indexOf(ticket) + 1),
         leave() {
           endWait();
-          const at = turns.indexOf(turn);
-          if (at >= 0) turns.splice(at, 1);
+          const index = tickets.indexOf(ticket);
+          if (index >= 0) tickets.splice(index, 1);
         },
       };
-      turns.push(turn);
-      return turn;
+      tickets.push(ticket);
+      return ticket;
     },
   };
 }
--- a/src/gateway/create_room_wait.ts
+++ b/src/gateway/create_room_wait.ts
@@ -1,59 +1,59 @@
 /**
- * Decides how long a new stream waits for room.
+ * Decides how long a new stream waits for free capacity.
  *
  * @module
  */
 
-import type { RoomTurn } from "./create_room_queue.ts";
+import type { QueueTicket } from "./create_room_queue.ts";
 import type { Call, ServingContext } from "./types.ts";
 
-/** A new stream's wait for room. */
+/** The wait of a new stream for free capacity. */
 export interface RoomWait {
-  /** Whether nobody else waits before it. */
+  /** Whether no other stream waits before it. */
   isFirst(): boolean;
-  /** Whether it goes on waiting; it then has its place in the queue. */
+  /** Whether it may wait on; if so, it has joined the queue. */
   mayWait(): boolean;
-  /** Gives its place up. */
+  /** Leaves the queue. */
   end(): void;
 }
 
 /**
- * Share of the time to the first event for which a new stream waits for room:
- * the rest is for reading its prompt.
+ * Share of the time-to-first-event objective for which a new stream waits for
+ * capacity; the rest is for the prefill of its prompt.
  */
-const WAIT_SHARE = 0.6;
+const MAX_WAIT_SHARE = 0.6;
 
 /**
- * Makes the wait of one call. It ends as soon as the first event is no longer
- * expected in time: who can't be served is told so at once.
+ * Creates the wait of one call. It ends as soon as the first event is no longer
+ * expected in time, so that calls that can't be served fail fast.
  *
  * @param call - The call.
- * @param context - The queue and the time.
+ * @param context - The queue and the clock.
  * @returns The wait.
  * @throws Nothing.
  * @example
- * const roomWait = createRoomWait(call, context);
+ * const capacityWait = createCapacityWait(call, context);
  */
 export function createRoomWait(
   call: Call,
   context: Pick<ServingContext, "getRoomQueue" | "now">,
 ): RoomWait {
   const { now } = context;
-  const roomQueue = context.getRoomQueue(call.service);
-  const bearableMs = call.route.objectiveMs * WAIT_SHARE;
-  let turn: RoomTurn | undefined;
+  const queue = context.getRoomQueue(call.service);
+  const maxWaitMs = call.route.objectiveMs * MAX_WAIT_SHARE;
+  let ticket: QueueTicket | undefined;
   return {
-    isFirst: () => turn ? turn.isFirst() : roomQueue.isEmpty(),
+    isFirst: () => ticket ? ticket.isFirst() : queue.isEmpty(),
     mayWait() {
       const waitedMs = now() - call.startedMs;
-      const expectedMs = (turn ?? roomQueue).estimateWaitMs();
-      if (waitedMs + expectedMs > bearableMs) return false;
-      turn ??= roomQueue.join();
+      const expectedMs = (ticket ?? queue).estimateWaitMs();
+      if (waitedMs + expectedMs > maxWaitMs) return false;
+      ticket ??= queue.join();
       return true;
     },
     end() {
-      turn?.leave();
-      turn = undefined;
+      ticket?.leave();
+      ticket = undefined;
     },
   };
 }
--- a/src/gateway/get_back_off_wait_ms.ts
+++ b/src/gateway/get_back_off_wait_ms.ts
@@ -1,5 +1,5 @@
 /**
- * When the end of back-offs makes requests possible again.
+ * Computes when back-offs have ended far enough for a request to be sent again.
  *
  * @module
  */
@@ -8,22 +8,22 @@
 import type { EngineTable } from "./create_engine_table.ts";
 import type { EngineView } from "./engine_view.ts";
 
-/** Who there is, and how long back-offs last. */
+/** The upstreams, and their remaining back-offs. */
 export interface GetBackOffWaitOptions {
   readonly engines: Pick<EngineTable, "listUsable" | "listBackedOff">;
   readonly notices: Pick<EngineNotices, "getBackOffLeftMs">;
   readonly service: string;
-  /** Layers of its model; none where each upstream serves alone. */
+  /** Layers of its model; absent if each upstream serves the whole model. */
   readonly layers?: number;
 }
 
 /**
- * Gets the time after which a request can be sent again that can't be now because
- * upstreams are backed off: until the first that serves alone, or enough of them that
- * hold layers. Known beforehand, it is told at once in place of trying.
+ * Gets the time after which a request that is blocked by back-offs can be sent: when
+ * the first upstream that serves alone is back, or enough of them to cover all layers.
+ * The caller can then be told to retry at once, without an attempt.
  *
- * @param options - Who there is, and how long back-offs last.
- * @returns Ms; undefined where it isn't back-offs that are in the way.
+ * @param options - The upstreams, and their remaining back-offs.
+ * @returns Ms; undefined if the request isn't blocked by back-offs.
  * @throws Nothing.
  * @example
  * const waitMs = getBackOffWaitMs({ engines, notices, service, layers: 80 });
@@ -32,23 +32,23 @@
   options: GetBackOffWaitOptions,
 ): number | undefined {
   const { engines, notices, service, layers = 0 } = options;
-  const isEnough = layers === 0 ? hasAny : createCoverCheck(layers);
+  const isEnough = layers === 0 ? hasAny : createCoverageCheck(layers);
   if (isEnough(engines.listUsable(service))) return undefined;
-  const inTurn = engines.listBackedOff(service)
+  const byBackOffEnd = engines.listBackedOff(service)
     .map((view) => ({
       view,
       leftMs: notices.getBackOffLeftMs(view.record.engineId),
     }))
     .sort((a, b) => a.leftMs - b.leftMs);
-  return inTurn.find(({ view }) => isEnough([view]))?.leftMs;
+  return byBackOffEnd.find(({ view }) => isEnough([view]))?.leftMs;
 }
 
 function hasAny(views: readonly EngineView[]): boolean {
   return views.length > 0;
 }
 
-// Tells, as holders are added, whether every layer has one.
-function createCoverCheck(
+// Returns a check to which upstreams are added until together they hold all layers.
+function createCoverageCheck(
   layers: number,
 ): (added: readonly EngineView[]) => boolean {
   const covered = new Set<number>();
--- a/src/gateway/get_back_off_wait_ms_test.ts
+++ b/src/gateway/get_back_off_wait_ms_test.ts
@@ -30,18 +30,18 @@
   });
 }
 
-test("where each serves alone the first that has rested is waited for", () => {
+test("if each upstream serves alone, the wait ends with the first back-off", () => {
   const resting = ["a", "b", "c"].map((id) => makeView(id));
   assert.is(getWaitMs({ usable: [], resting }), 200);
 });
 
-test("as long as one takes requests no rest is in the way", () => {
+test("back-offs cause no wait while another upstream takes requests", () => {
   const options = { usable: [makeView("d")], resting: [makeView("a")] };
   assert.is(getWaitMs(options), undefined);
   assert.is(getWaitMs({ usable: [], resting: [] }), undefined);
 });
 
-test("layers have to be held by those that have rested by then", () => {
+test("the wait ends when upstreams without a back-off hold all layers", () => {
   const resting = [
     makeView("a", [0, 4]),
     makeView("b", [4, 8]),
--- a/src/gateway/spread_return_ms.ts
+++ b/src/gateway/spread_return_ms.ts
@@ -1,27 +1,27 @@
 /**
- * Spreads the return of callers that have to wait for the same moment.
+ * Spreads the retries of callers that wait for the same time.
  *
  * @module
  */
 
-/** Share of a wait by which it is drawn out at random, at most. */
-const SPREAD_SHARE = 0.2;
+/** Largest share of a wait by which it is randomly extended. */
+const JITTER_SHARE = 0.2;
 
-/** Ms over which returns are spread at least: a few times an answer of a call. */
-const LEAST_SPREAD_MS = 200;
+/** Shortest spread, in ms: a few times as long as a call takes to be answered. */
+const MIN_JITTER_MS = 200;
 
 /**
- * Draws a wait out at random, never shortens it: whoever came sooner would be turned
- * away again.
+ * Extends a wait at random and never shortens it: a caller that retried earlier would
+ * be refused again.
  *
- * @param waitMs - Ms until the moment.
+ * @param waitMs - Ms until a retry can succeed.
  * @param random - A number in [0, 1).
- * @returns Whole ms to tell one caller.
+ * @returns The wait of one caller, in whole ms.
  * @throws Nothing.
  * @example
- * const retryAfterMs = spreadReturnMs(3_000, Math.random()); // 3000 to 3600
+ * const retryAfterMs = jitterRetryAfterMs(3_000, Math.random()); // 3000 to 3600
  */
 export function spreadReturnMs(waitMs: number, random: number): number {
-  const spreadMs = Math.max(LEAST_SPREAD_MS, SPREAD_SHARE * waitMs);
-  return Math.ceil(waitMs + spreadMs * random);
+  const jitterMs = Math.max(MIN_JITTER_MS, JITTER_SHARE * waitMs);
+  return Math.ceil(waitMs + jitterMs * random);
 }
