--- a/src/gateway/create_rate_limits.ts
+++ b/src/gateway/create_rate_limits.ts
@@ -41,7 +41,7 @@
   getLimitPerS(engineId: string): number;
   /** Ms until a grant may be available; 0 if one is held, or may be requested now. */
   getWaitMs(engineId: string): number;
-  /** Whether a grant is held, or may be requested now. */
+  /** Whether it is unlimited, or a grant is held or may be requested now. */
   hasSendLeft(engineId: string): boolean;
   /** Takes a grant to send a request; undefined if one has to be requested first. */
   take(engineId: string): SendGrant | undefined;
@@ -119,7 +119,7 @@
  * @throws Nothing.
  * @example
  * const grant = limits.takeGrant(engineId);
- * if (!grant) await limits.request(engineId);
+ * if (!grant) await limits.requestGrant(engineId);
  */
 export function createRateLimits(options: CreateRateLimitsOptions): RateLimits {
   const { now, log, metrics } = options;
