--- a/src/gateway/create_run_record.ts
+++ b/src/gateway/create_run_record.ts
@@ -46,7 +46,7 @@
  * const runRecord = createRunRecord({ maxAttempts, engines, livenessCheck });
  */
 export function createRunRecord(options: CreateRunRecordOptions): RunRecord {
-  const { maxAttempts, engines, endCheck } = options;
+  const { maxAttempts, engines, endCheck: upstreamCheck } = options;
   const ranOn = new Map<string, UpstreamAddress>();
 
   function listPossiblyAlive(): UpstreamAddress[] {
@@ -55,7 +55,7 @@
   }
 
   async function checkLiveness(upstream: UpstreamAddress): Promise<void> {
-    const liveness = await endCheck.check(upstream);
+    const liveness = await upstreamCheck.check(upstream);
     if (liveness === "ended") engines.noteEnded(upstream.engineId);
   }
 
