--- a/src/gateway/create_later_refusals.ts
+++ b/src/gateway/create_later_refusals.ts
@@ -11,7 +11,7 @@
 export interface LaterRefusals {
   /** For calls whose upstreams are backed off. */
   refuseForBackOff(retryAfterMs: number): void;
-  /** For calls whose upstreams are at their limits; leftMs until a send may be free. */
+  /** For calls whose upstreams allow no send for leftMs, due to rate limits. */
   refuseForLimit(leftMs: number): void;
 }
 
--- a/src/gateway/create_quarantine.ts
+++ b/src/gateway/create_quarantine.ts
@@ -33,7 +33,7 @@
 /** The gateway's side of the quarantine. */
 export interface Quarantine {
   judge(requestKey: string): QuarantineVerdict;
-  /** Whether any upstream crashed while it ran a request. */
+  /** Whether an upstream crashed while it ran a request that is not proved harmless. */
   isSuspect(requestKey: string): boolean;
   /** Records that an upstream crashed just after it had begun a request. */
   noteCrash(report: CrashReport): void;
@@ -82,7 +82,7 @@
  */
 const MAX_REPORT_WAIT_MS = 150;
 
-/** Interval, in ms, of the check whether all gateways know. */
+/** Interval, in ms, between checks whether all gateways know. */
 const REPORT_POLL_MS = 5;
 
 /**
--- a/src/gateway/get_back_off_wait_ms.ts
+++ b/src/gateway/get_back_off_wait_ms.ts
@@ -20,7 +20,7 @@
 /**
  * Gets the time after which a request that is blocked by back-offs can be sent: when
  * the first upstream that serves alone is back, or enough of them to cover all layers.
- * The caller can then be told to retry at once, without an attempt.
+ * As the time is known in advance, the caller is refused without an attempt.
  *
  * @param options - The upstreams, and their remaining back-offs.
  * @returns Ms; undefined if the request isn't blocked by back-offs.
