--- a/src/fleet/create_activity_tally.ts
+++ b/src/fleet/create_activity_tally.ts
@@ -1,27 +1,27 @@
 /**
- * The leader's tally of what all gateways' streams do, so that each gateway
- * decides by figures of the fleet: of hundreds, one alone sees a stream end once
- * a second while the fleet ends one each few ms.
+ * The leader's sums of the stream activity of all gateways, so that each gateway
+ * decides by the rates of the whole fleet. One gateway among hundreds sees a stream end
+ * about once a second, while in the fleet one ends every few ms.
  *
  * @module
  */
 
 import type { FleetActivity, GatewayActivity } from "./messages.ts";
 
-/** The tally. */
+/** Sums of the stream activity of all gateways. */
 export interface ActivityTally {
-  /** Takes what a gateway's streams did since it last told. */
+  /** Adds what a gateway's streams did since its last report. */
   take(vm: string, activity: GatewayActivity): void;
-  /** Forgets a gateway's waiting streams. */
+  /** Removes a gateway's waiting streams. */
   forget(vm: string): void;
-  /** The fleet's figures of the last seconds, by service. */
+  /** Gets the fleet's rates over the last window, by service. */
   get(): FleetActivity;
 }
 
-/** Ms over which streams are counted: about the length of a stream. */
+/** Ms over which streams are counted: about the duration of one stream. */
 const WINDOW_MS = 2_000;
 
-interface Counted {
+interface ActivitySample {
   readonly atMs: number;
   readonly service: string;
   readonly asked: number;
@@ -29,46 +29,48 @@
 }
 
 /**
- * Makes the tally, empty.
+ * Creates an empty tally.
  *
  * @param options - Monotonic time, in ms.
  * @returns The tally.
  * @throws Nothing.
  * @example
- * tally.take("vm-1", { advisor: { asked: 2, ended: 1, waiting: 0 } });
+ * tally.add("vm-1", { advisor: { asked: 2, ended: 1, waiting: 0 } });
  */
 export function createActivityTally(
   options: { readonly now: () => number },
 ): ActivityTally {
   const { now } = options;
-  let counts: Counted[] = [];
+  let samples: ActivitySample[] = [];
   const waiting = new Map<string, ReadonlyMap<string, number>>();
 
-  function dropOld(): void {
+  function removeExpired(): void {
     const sinceMs = now() - WINDOW_MS;
-    const from = counts.findIndex(({ atMs }) => atMs >= sinceMs);
-    counts = from < 0 ? [] : counts.slice(from);
+    const from = samples.findIndex(({ atMs }) => atMs >= sinceMs);
+    samples = from < 0 ? [] : samples.slice(from);
   }
 
   return {
     take(vm, activity) {
-      const told = Object.entries(activity);
-      for (const [service, { asked, ended }] of told) {
+      const reported = Object.entries(activity);
+      for (const [service, { asked, ended }] of reported) {
         if (asked + ended === 0) continue;
-        counts.push({ atMs: now(), service, asked, ended });
+        samples.push({ atMs: now(), service, asked, ended });
       }
       waiting.set(
         vm,
-        new Map(told.map(([service, one]) => [service, one.waiting])),
+        new Map(
+          reported.map(([service, streams]) => [service, streams.waiting]),
+        ),
       );
     },
     forget: (vm) => void waiting.delete(vm),
     get() {
-      dropOld();
+      removeExpired();
       const sums: Record<string, FleetActivity[string]> = {};
       const getSum = (service: string) =>
         sums[service] ?? { askedPerS: 0, endedPerS: 0, waiting: 0 };
-      for (const { service, asked, ended } of counts) {
+      for (const { service, asked, ended } of samples) {
         const sum = getSum(service);
         sums[service] = {
           ...sum,
--- a/src/fleet/create_awaited_gateways.ts
+++ b/src/fleet/create_awaited_gateways.ts
@@ -1,9 +1,10 @@
 /**
- * The gateways that earlier leaders recorded and that have not come to this one yet.
+ * Gateways that earlier leaders recorded and that have not connected to this one yet.
  *
- * That a gateway has not been heard of says nothing as long as others still come
- * back: all of them look for the new leader at once, and how long that takes hangs
- * on how busy the leader and they are. So silence counts from the last return.
+ * After a leader change all gateways look for the new leader at once, and how long
+ * that takes depends on the load of the leader and the gateways. A missing gateway is
+ * therefore not considered failed while others still reconnect: the time-out restarts
+ * with each one that returns.
  *
  * @module
  */
@@ -11,46 +12,46 @@
 import type { Logger } from "../logs/index.ts";
 import type { GatewayRecord } from "./messages.ts";
 
-/** The gateways that a new leader waits for. */
+/** The recorded gateways that a new leader waits for. */
 export interface AwaitedGateways {
-  /** Begins to wait for the gateways that earlier leaders recorded. */
-  expect(recorded: Iterable<GatewayRecord>): void;
-  /** Takes note that a gateway has come. */
-  noteBack(vm: string): void;
-  /** Gives up those that stay away; called again and again. */
+  /** Starts to wait for the gateways that earlier leaders recorded. */
+  beginWait(recorded: Iterable<GatewayRecord>): void;
+  /** Notes that a gateway has connected. */
+  noteReturned(vm: string): void;
+  /** Gives up missing gateways once the wait is over; call it periodically. */
   tick(): void;
-  /** Whether earlier leaders recorded any. */
-  hasExpected(): boolean;
-  /** Gateways that are still waited for. */
+  /** Whether earlier leaders had recorded any gateways. */
+  hasRecorded(): boolean;
+  /** Lists the gateways that are still awaited. */
   list(): readonly GatewayRecord[];
-  /** Waits for none any more: this process no longer leads. */
+  /** Stops waiting, as this process no longer leads. */
   reset(): void;
 }
 
 /** Options of {@link createAwaitedGateways}. */
 export interface CreateAwaitedGatewaysOptions {
-  /** Ms for which gateways could be heard. */
+  /** Monotonic time, in ms, that advances only while gateways can reach this process. */
   readonly now: () => number;
   readonly log: Logger;
-  /** Ms without a return after which those that are away are given up. */
+  /** Ms after the last return, or the start, at which missing gateways are given up. */
   readonly silenceMs?: number;
-  /** Ms after which they are given up although others still come back. */
+  /** Ms after the start at which they are given up although others still return. */
   readonly maxWaitMs?: number;
 }
 
 /**
- * Ms without a return: 1.2 s for a gateway to notice that its leader is gone, 1 s over
- * which 330 of them look for the next one, 1.5 s of silence as in a session.
+ * Covers 1.2 s for a gateway to notice that its leader has failed, 1 s over which 330
+ * gateways search for the next one, and 1.5 s, the time-out of a session.
  */
-const RETURN_SILENCE_MS = 4_000;
+const RETURN_TIMEOUT_MS = 4_000;
 
-/** Bound on the wait; gateways that restart again and again must not extend it. */
+/** Upper bound on the wait; gateways that keep restarting must not extend it. */
 const MAX_WAIT_MS = 30_000;
 
 /**
- * Makes the list, empty.
+ * Creates an empty list.
  *
- * @param options - The time, logs, how long to wait.
+ * @param options - Clock, logger and time-outs.
  * @returns The list.
  * @throws Nothing.
  * @example
@@ -61,13 +62,13 @@
   options: CreateAwaitedGatewaysOptions,
 ): AwaitedGateways {
   const { now, log } = options;
-  const { silenceMs = RETURN_SILENCE_MS, maxWaitMs = MAX_WAIT_MS } = options;
+  const { silenceMs = RETURN_TIMEOUT_MS, maxWaitMs = MAX_WAIT_MS } = options;
   const awaited = new Map<string, GatewayRecord>();
   let expected = 0;
   let startedMs = now();
   let returnedMs = now();
 
-  function end(): void {
+  function finish(): void {
     log("gatewaysCounted", {
       expected,
       missing: [...awaited.keys()],
@@ -77,23 +78,23 @@
   }
 
   return {
-    expect(recorded) {
+    beginWait(recorded) {
       for (const gateway of recorded) awaited.set(gateway.vm, gateway);
       expected = awaited.size;
       startedMs = now();
       returnedMs = startedMs;
     },
-    noteBack(vm) {
+    noteReturned(vm) {
       if (!awaited.delete(vm)) return;
       returnedMs = now();
-      if (awaited.size === 0) end();
+      if (awaited.size === 0) finish();
     },
     tick() {
       if (awaited.size === 0) return;
-      const isSilent = now() - returnedMs >= silenceMs;
-      if (isSilent || now() - startedMs >= maxWaitMs) end();
+      const isTimedOut = now() - returnedMs >= silenceMs;
+      if (isTimedOut || now() - startedMs >= maxWaitMs) finish();
     },
-    hasExpected: () => expected > 0,
+    hasRecorded: () => expected > 0,
     list: () => [...awaited.values()],
     reset() {
       awaited.clear();
--- a/src/fleet/create_awaited_gateways_test.ts
+++ b/src/fleet/create_awaited_gateways_test.ts
@@ -14,56 +14,56 @@
   }));
 }
 
-function startWaiting(count: number) {
+function startAwaiting(count: number) {
   let nowMs = 0;
   const awaited = createAwaitedGateways({
     ...TIMES,
     now: () => nowMs,
     log: () => {},
   });
-  awaited.expect(makeGateways(count));
-  const pass = (ms: number) => {
+  awaited.beginWait(makeGateways(count));
+  const advance = (ms: number) => {
     nowMs += ms;
     awaited.tick();
     return awaited.list().length;
   };
-  return { awaited, pass };
+  return { awaited, advance };
 }
 
-test("those that stay away are given up after the silence", () => {
-  const { awaited, pass } = startWaiting(3);
-  awaited.noteBack("g0");
-  assert.is(pass(TIMES.silenceMs - 1), 2);
-  assert.is(pass(1), 0);
+test("missing gateways are given up when none has returned for the time-out", () => {
+  const { awaited, advance } = startAwaiting(3);
+  awaited.noteReturned("g0");
+  assert.is(advance(TIMES.silenceMs - 1), 2);
+  assert.is(advance(1), 0);
 });
 
-test("each return shows that others may still be on their way", () => {
-  const { awaited, pass } = startWaiting(4);
+test("each gateway that returns restarts the time-out", () => {
+  const { awaited, advance } = startAwaiting(4);
   for (const vm of ["g0", "g1", "g2"]) {
-    assert.ok(pass(TIMES.silenceMs - 1) > 0);
-    awaited.noteBack(vm);
+    assert.ok(advance(TIMES.silenceMs - 1) > 0);
+    awaited.noteReturned(vm);
   }
   assert.equal(awaited.list().map(({ vm }) => vm), ["g3"]);
-  awaited.noteBack("g3");
+  awaited.noteReturned("g3");
   assert.equal(awaited.list(), []);
 });
 
-test("gateways that come one by one don't extend the wait without end", () => {
-  const { awaited, pass } = startWaiting(20);
+test("gateways that return one by one extend the wait only up to its bound", () => {
+  const { awaited, advance } = startAwaiting(20);
   const stepMs = TIMES.silenceMs / 2;
   for (let at = 0; at * stepMs < TIMES.maxWaitMs; at++) {
     assert.ok(awaited.list().length > 0);
-    awaited.noteBack(`g${at}`);
-    pass(stepMs);
+    awaited.noteReturned(`g${at}`);
+    advance(stepMs);
   }
   assert.equal(awaited.list(), []);
 });
 
-test("who comes without having been recorded shows nothing of the others", () => {
-  const { awaited, pass } = startWaiting(2);
-  pass(TIMES.silenceMs - 1);
-  awaited.noteBack("new");
-  assert.is(pass(1), 0);
+test("a gateway that was not recorded doesn't restart the time-out", () => {
+  const { awaited, advance } = startAwaiting(2);
+  advance(TIMES.silenceMs - 1);
+  awaited.noteReturned("new");
+  assert.is(advance(1), 0);
 });
 
 test.run();
--- a/src/fleet/create_config_history.ts
+++ b/src/fleet/create_config_history.ts
@@ -1,5 +1,5 @@
 /**
- * The configurations that were accepted last, and what they say.
+ * The most recently accepted configurations, with a cache of decoded ones.
  *
  * @module
  */
@@ -10,37 +10,37 @@
 import type { DecodeConfig } from "./messages.ts";
 import { unpackDocument } from "./pack_document.ts";
 
-/** How configurations are decoded. */
+/** Options of {@link createConfigHistory}. */
 export interface CreateConfigHistoryOptions {
   readonly decodeConfig: DecodeConfig;
 }
 
-/** The configurations that were accepted last. */
+/** The most recently accepted configurations. */
 export interface ConfigHistory {
-  /** Notes an accepted configuration. */
+  /** Adds an accepted configuration. */
   note(accepted: AcceptedConfig): void;
-  /** Gets a version; undefined where it was never noted or is forgotten. */
+  /** Gets a version; undefined if it was never added or has been evicted. */
   get(version: number): AcceptedConfig | undefined;
   /**
-   * Decodes a packed configuration; throws where it can't be read. What was decoded
-   * lately is not decoded again.
+   * Decodes a packed configuration, or returns it from the cache; throws if it can't be
+   * decoded.
    */
   read(packed: string): RouteConfig;
 }
 
 /**
- * Versions that are remembered: gateways that lag by no more than these are told
- * changes.
+ * Number of versions kept. A gateway whose version is among them receives only the
+ * change, others the full configuration.
  */
 const MAX_VERSIONS = 16;
 
-/** Decoded configurations that are kept. */
+/** Number of decoded configurations in the cache. */
 const MAX_DECODED = 4;
 
 /**
- * Makes the history, empty.
+ * Creates an empty history.
  *
- * @param options - How configurations are decoded.
+ * @param options - The decoder of configurations.
  * @returns The history.
  * @throws Nothing.
  * @example
@@ -52,7 +52,7 @@
   const versions = new Map<number, AcceptedConfig>();
   const decoded = new Map<string, RouteConfig>();
 
-  function keepDecoded(packed: string, config: RouteConfig): RouteConfig {
+  function cacheDecoded(packed: string, config: RouteConfig): RouteConfig {
     decoded.delete(packed);
     decoded.set(packed, config);
     forgetOldest(decoded, MAX_DECODED);
@@ -66,7 +66,7 @@
     },
     get: (version) => versions.get(version),
     read: (packed) =>
-      keepDecoded(
+      cacheDecoded(
         packed,
         decoded.get(packed) ?? options.decodeConfig(unpackDocument(packed)),
       ),
--- a/src/fleet/create_config_messages.ts
+++ b/src/fleet/create_config_messages.ts
@@ -1,6 +1,6 @@
 /**
- * The messages that tell gateways a configuration: each is made once, however many
- * gateways are told.
+ * Messages that carry a configuration to gateways. Each message is built and encoded
+ * once, however many gateways receive it.
  *
  * @module
  */
@@ -13,36 +13,36 @@
 import { getConfigDigest } from "./get_config_digest.ts";
 import type { LeaderMessage } from "./messages.ts";
 
-/** What the messages are made of. */
+/** Dependencies of {@link createConfigMessages}. */
 export interface CreateConfigMessagesOptions {
   readonly history: Pick<ConfigHistory, "get" | "read">;
-  /** Writes a message for the wire. */
+  /** Encodes a message for the wire. */
   readonly format: (message: LeaderMessage) => wire.FleetMessage;
   readonly metrics: Pick<Metrics, "count">;
 }
 
-/** The messages that tell gateways a configuration. */
+/** Messages that carry a configuration to gateways. */
 export interface ConfigMessages {
   /**
-   * Gets the message for gateways that have another version: the change from it
-   * where that version is known and the change is shorter, else the whole.
+   * Gets the message for gateways that hold another version: the change from that
+   * version if it is known and the change is shorter, otherwise the full configuration.
    */
   get(accepted: AcceptedConfig, fromVersion: number): wire.FleetMessage;
 }
 
-/** Messages of one version. */
+/** Messages that lead to one version. */
 interface VersionMessages {
   readonly accepted: AcceptedConfig;
-  readonly whole: wire.FleetMessage;
-  /** Messages by the version that gateways have. */
+  readonly fullMessage: wire.FleetMessage;
+  /** Messages by the version that the gateway holds. */
   readonly byFromVersion: Map<number, wire.FleetMessage>;
 }
 
 /**
- * Makes the messages.
+ * Creates the builder of messages, with an empty cache.
  *
- * @param options - Earlier versions, and how messages are written.
- * @returns The messages.
+ * @param options - Earlier versions, and the encoder of messages.
+ * @returns The builder of messages.
  * @throws Nothing.
  * @example
  * stream.write(configMessages.get(accepted, session.sentVersion));
@@ -53,7 +53,7 @@
   const { history, format, metrics } = options;
   let current: VersionMessages | undefined;
 
-  function makeChange(
+  function makeChangeMessage(
     accepted: AcceptedConfig,
     fromVersion: number,
   ): wire.FleetMessage | undefined {
@@ -73,23 +73,25 @@
     });
   }
 
-  function choose(
-    { accepted, whole }: VersionMessages,
+  function chooseMessage(
+    { accepted, fullMessage }: VersionMessages,
     fromVersion: number,
   ): wire.FleetMessage {
-    const change = makeChange(accepted, fromVersion);
-    return change && getSize(change) < getSize(whole) ? change : whole;
+    const change = makeChangeMessage(accepted, fromVersion);
+    return change && getSize(change) < getSize(fullMessage)
+      ? change
+      : fullMessage;
   }
 
   return {
     get(accepted, fromVersion) {
       if (current?.accepted.version !== accepted.version) {
-        const whole = format({ type: "config", ...accepted });
-        current = { accepted, whole, byFromVersion: new Map() };
+        const fullMessage = format({ type: "config", ...accepted });
+        current = { accepted, fullMessage, byFromVersion: new Map() };
       }
       const { byFromVersion } = current;
       const message = byFromVersion.get(fromVersion) ??
-        choose(current, fromVersion);
+        chooseMessage(current, fromVersion);
       byFromVersion.set(fromVersion, message);
       return message;
     },
--- a/src/fleet/create_config_messages_test.ts
+++ b/src/fleet/create_config_messages_test.ts
@@ -31,66 +31,66 @@
   });
   const get = (version: number, fromVersion: number) =>
     messages.get(makeConfig(version), fromVersion);
-  const tell = (version: number, fromVersion: number) =>
+  const receive = (version: number, fromVersion: number) =>
     parseLeaderMessage(get(version, fromVersion), createEngineNumbers());
   const note = (...versions: number[]) =>
     versions.forEach((version) => history.note(makeConfig(version)));
-  return { messages, get, tell, note, counts };
+  return { messages, get, receive, note, counts };
 }
 
-/** Routes by name, so that their order doesn't count. */
+/** Sorts routes by name, so that their order doesn't matter. */
 function sortRoutes(config: RouteConfig): RouteConfig {
   const routes = [...config.routes].sort((a, b) => a.name < b.name ? -1 : 1);
   return { ...config, routes };
 }
 
-/** Checks that a message leads from one version to another. */
-function assertLeads(
-  told: LeaderMessage,
+/** Checks that a message changes one version into another. */
+function assertChanges(
+  message: LeaderMessage,
   fromVersion: number,
   version: number,
 ) {
-  assert.ok(told.type === "configChange");
+  assert.ok(message.type === "configChange");
   const from = decodeConfig(makeDocument(fromVersion));
   assert.equal(
-    sortRoutes(applyConfigChange(from, told.change)),
+    sortRoutes(applyConfigChange(from, message.change)),
     sortRoutes(decodeConfig(makeDocument(version))),
   );
 }
 
-test("a change of two of 1,400 routes takes a few bytes and gives the same configuration", () => {
-  const { get, tell, note } = startMessages();
+test("a change of two of 1,400 routes is small and gives the same configuration", () => {
+  const { get, receive, note } = startMessages();
   note(3, 5);
   const bytes = wire.FleetMessage.encode(get(5, 3)).finish().length;
   assert.ok(bytes < 700, `${bytes} bytes`);
-  assertLeads(tell(5, 3), 3, 5);
+  assertChanges(receive(5, 3), 3, 5);
 });
 
-test("who has a version that is known is told the change, others the whole", () => {
-  const { tell, note } = startMessages();
+test("gateways with a known version receive the change, others the full configuration", () => {
+  const { receive, note } = startMessages();
   note(3, 5);
-  assert.is(tell(3, -1).type, "config");
-  assert.is(tell(5, 3).type, "configChange");
-  assert.is(tell(5, -1).type, "config");
-  assert.is(tell(5, 4).type, "config");
+  assert.is(receive(3, -1).type, "config");
+  assert.is(receive(5, 3).type, "configChange");
+  assert.is(receive(5, -1).type, "config");
+  assert.is(receive(5, 4).type, "config");
 });
 
-test("who lags by some versions is told one change, who lags by many the whole", () => {
-  const { tell, note } = startMessages();
+test("a gateway that lags receives one change, or everything if it lags by many versions", () => {
+  const { receive, note } = startMessages();
   note(...Array.from({ length: 20 }, (_, at) => at + 1));
-  assertLeads(tell(20, 5), 5, 20);
-  assert.is(tell(20, 1).type, "config");
+  assertChanges(receive(20, 5), 5, 20);
+  assert.is(receive(20, 1).type, "config");
 });
 
-test("a change that is longer than the whole is not told, and not made again", () => {
+test("a change longer than the full configuration is neither sent nor computed again", () => {
   const { messages, note, counts } = startMessages();
   note(3);
-  // Naming 1,400 routes that go takes more than the three that are there.
+  // The names of 1,400 removed routes take more bytes than the three that are left.
   const document = JSON.stringify(makeWireConfig(5));
   const accepted = { version: 5, packed: packDocument(document) };
-  const told = messages.get(accepted, 3);
-  assert.is(parseLeaderMessage(told, createEngineNumbers()).type, "config");
-  assert.is(messages.get(accepted, 3), told);
+  const message = messages.get(accepted, 3);
+  assert.is(parseLeaderMessage(message, createEngineNumbers()).type, "config");
+  assert.is(messages.get(accepted, 3), message);
   assert.equal(counts, ["config.changes_made"]);
 });
 
--- a/src/fleet/create_gateway_sessions.ts
+++ b/src/fleet/create_gateway_sessions.ts
@@ -1,5 +1,6 @@
 /**
- * The leader's sessions with gateways.
+ * The leader's streaming sessions with gateways: welcomes gateways, takes their
+ * heartbeats, and publishes configurations, upstreams, gateways and loads to them.
  *
  * @module
  */
@@ -38,25 +39,28 @@
 
 type SessionStream = ServerDuplexStream<wire.FleetMessage, wire.FleetMessage>;
 
-/** What the sessions need of their program. */
+/** Dependencies of {@link createGatewaySessions}. */
 export interface CreateGatewaySessionsOptions {
   readonly isLeader: () => boolean;
-  /** Whether it surely leads at this moment. */
+  /** Whether this process holds the leader's lease now. */
   readonly hasLease: () => boolean;
-  /** Resolves once it surely leads and knows what earlier leaders recorded. */
+  /**
+   * Resolves once a quorum has confirmed that this process leads and it has applied
+   * what earlier leaders recorded.
+   */
   readonly confirmRead: () => Promise<void>;
-  /** Address of a leader that was heard of just now; empty if none was. */
+  /** Address of a leader that was in contact recently; empty if there is none. */
   readonly getLeaderAddress: () => string;
   readonly getControlAddresses: () => readonly string[];
   readonly getAccepted: () => AcceptedConfig | undefined;
-  /** Configurations that gateways may have. */
+  /** Earlier configurations that gateways may still hold. */
   readonly history: Pick<ConfigHistory, "get" | "read">;
   readonly getEngines: () => readonly EngineRecord[];
-  /** Whether this leader has heard long enough to know all engines. */
+  /** Whether this leader has received heartbeats long enough to know all engines. */
   readonly knowsAllEngines: () => boolean;
-  /** Whether gateways have had the time to find this leader. */
+  /** Whether gateways have had enough time to connect to this leader. */
   readonly knowsAllGateways: () => boolean;
-  /** Lends repeats of a service; gives how many. */
+  /** Grants retries of a service from the fleet's budget; returns how many. */
   readonly lendRepeats: (service: string, wanted: number) => number;
   readonly quarantine: Pick<
     QuarantineDesk,
@@ -64,13 +68,16 @@
   >;
   readonly limits: Pick<LimitDesk, "take" | "grant" | "list">;
   readonly onSuspects: (vm: string, engineIds: readonly string[]) => void;
-  /** Called when a gateway names upstreams that said that they leave. */
+  /** Called when a gateway reports upstreams that announced that they are leaving. */
   readonly onLeaving: (engineIds: readonly string[]) => void;
-  /** Called when a gateway names engines of slow streams, or silent ones. */
+  /** Called when a gateway reports engines with slow streams, or unresponsive ones. */
   readonly onSlow: (engineIds: readonly string[]) => void;
   /** Monotonic time, in ms. */
   readonly now: () => number;
-  /** Ms for which gateways could be heard; the time by default. */
+  /**
+   * Monotonic time, in ms, that advances only while gateways can reach this process;
+   * `now` by default.
+   */
   readonly listeningNow?: () => number;
   readonly log: Logger;
   readonly metrics: Pick<Metrics, "count" | "gauge" | "timing">;
@@ -82,20 +89,20 @@
     wire.FleetMessage,
     wire.FleetMessage
   >;
-  /** Tells a version that was just accepted. */
+  /** Publishes a version that was just accepted. */
   publishConfig(version: number): void;
-  /** Waits for the gateways that earlier leaders recorded. */
+  /** Starts to wait for the gateways that earlier leaders recorded. */
   expectGateways(recorded: Iterable<GatewayRecord>): void;
-  /** The list of gateways that all were told; undefined before the first time. */
+  /** The list of gateways published last; undefined before the first one. */
   getToldGateways(): ReadonlyMap<string, GatewayRecord> | undefined;
   publishEngines(change: EngineChange): void;
-  /** Tells all engines at once, in place of what gateways knew before. */
+  /** Publishes the full list of engines, which replaces what gateways hold. */
   publishAllEngines(): void;
-  /** Ends the sessions that fell silent; tells the others who is live. */
+  /** Ends sessions that timed out, and publishes which gateways are live. */
   tick(): void;
-  /** Tells all gateways something. */
+  /** Sends a message to all gateways. */
   publish(message: LeaderMessage): void;
-  /** Tells the gateways what all of them have in flight. */
+  /** Publishes the sum of what all gateways have in flight. */
   publishLoads(): void;
   closeAll(): void;
 }
@@ -104,33 +111,33 @@
   readonly stream: SessionStream;
   gateway: GatewayRecord | undefined;
   sentVersion: number;
-  heardMs: number;
-  /** When it began, in ms. */
+  lastSeenMs: number;
+  /** Time at which it began, in ms. */
   readonly openedMs: number;
-  /** Its work in flight, as it told last; undefined before. */
+  /** The gateway's work in flight as last reported; undefined before that. */
   loads: EngineLoads | undefined;
   isClosed: boolean;
 }
 
-/** Ms of silence after which a gateway is no longer named to callers. */
-const SILENCE_MS = 1_500;
+/** Time without a heartbeat, in ms, after which a gateway is removed from the list. */
+const SESSION_TIMEOUT_MS = 1_500;
 
-/** Ms after which a leader that doesn't surely lead may be asked for sends again. */
+/** Ms after which a gateway may ask again for sends if the leader has no lease. */
 const NO_LEASE_RETRY_MS = 300;
 
-/** Bytes that may wait for a slow gateway; then its session ends. */
-const MAX_WAITING_BYTES = 8 * 1024 * 1024;
+/** Bytes that may be buffered for a slow gateway before its session is ended. */
+const MAX_BUFFERED_BYTES = 8 * 1024 * 1024;
 
-/** Ms for a gateway that joined to tell its work, which then counts as none. */
-const FIRST_LOADS_MS = 1_500;
+/** Ms that a new gateway has to report its loads; after that they count as none. */
+const FIRST_LOADS_TIMEOUT_MS = 1_500;
 
-/** Ms for which versions in quick succession are gathered into one message. */
-const CONFIG_GATHER_MS = 100;
+/** Ms for which versions in quick succession are combined into one message. */
+const CONFIG_BATCH_MS = 100;
 
 /**
- * Makes the leader's sessions.
+ * Creates the leader's sessions, none open.
  *
- * @param options - What the sessions tell and whom they tell it.
+ * @param options - The state to publish, and handlers of what gateways report.
  * @returns The sessions.
  * @throws Nothing.
  * @example
@@ -141,24 +148,24 @@
 ): GatewaySessions {
   const { now, log, listeningNow = now } = options;
   const sessions = new Map<string, Session>();
-  // What all sessions were told, by VM; undefined before the first time.
-  let toldGateways: ReadonlyMap<string, GatewayRecord> | undefined;
-  // What was told of loads and streams, as text; empty before the first time.
-  let toldLoads = "";
-  let gathering: ReturnType<typeof setTimeout> | undefined;
-  const news = createWrittenNews(options);
+  // The list published last, by VM; undefined before the first one.
+  let publishedGateways: ReadonlyMap<string, GatewayRecord> | undefined;
+  // Loads and activity published last, as JSON; empty before the first time.
+  let publishedLoads = "";
+  let batchTimer: ReturnType<typeof setTimeout> | undefined;
+  const codec = createWrittenNews(options);
   const tally = createActivityTally({ now });
-  const losses = createLossReports({ now });
+  const lossReports = createLossReports({ now });
   const rollout = createRolloutWatch(options);
-  const hellos = createHelloQueue(options);
-  const awaited = createAwaitedGateways({ now: listeningNow, log });
+  const helloQueue = createHelloQueue(options);
+  const awaitedGateways = createAwaitedGateways({ now: listeningNow, log });
 
   function send(session: Session, message: LeaderMessage): void {
-    write(session, news.format(message));
+    write(session, codec.format(message));
   }
 
   function broadcast(message: LeaderMessage): void {
-    writeToAll(news.format(message));
+    writeToAll(codec.format(message));
   }
 
   function writeToAll(message: wire.FleetMessage): void {
@@ -166,7 +173,7 @@
   }
 
   function write({ stream }: Session, message: wire.FleetMessage): void {
-    if (stream.writableLength > MAX_WAITING_BYTES) {
+    if (stream.writableLength > MAX_BUFFERED_BYTES) {
       stream.end();
       return;
     }
@@ -174,7 +181,7 @@
   }
 
   function redirect(stream: SessionStream, address: string): void {
-    stream.write(news.format({ type: "redirect", address }));
+    stream.write(codec.format({ type: "redirect", address }));
     stream.end();
   }
 
@@ -182,7 +189,7 @@
     const accepted = options.getAccepted();
     if (!accepted) return;
     if (accepted.version <= session.sentVersion) return;
-    write(session, news.formatConfig(accepted, session.sentVersion));
+    write(session, codec.formatConfig(accepted, session.sentVersion));
     session.sentVersion = accepted.version;
   }
 
@@ -203,14 +210,14 @@
     });
   }
 
-  function takeHello(
+  function handleHello(
     session: Session,
     hello: GatewayMessage & { type: "hello" },
   ): void {
     const { stream } = session;
-    // A gateway that hears anything gives a busy process more time.
+    // Any answer at all makes the gateway wait longer for a busy process.
     stream.sendMetadata(new Metadata());
-    hellos.take({
+    helloQueue.enqueue({
       isClosed: () => session.isClosed,
       welcome: () => welcome(session, hello),
       redirect: (address) => redirect(stream, address),
@@ -225,38 +232,41 @@
     sessions.get(gateway.vm)?.stream.end();
     session.gateway = gateway;
     session.sentVersion = version;
-    session.heardMs = listeningNow();
+    session.lastSeenMs = listeningNow();
     sessions.set(gateway.vm, session);
-    awaited.noteBack(gateway.vm);
+    awaitedGateways.noteReturned(gateway.vm);
     rollout.noteHeld(gateway.vm, version);
     const controlAddresses = options.getControlAddresses();
-    // The suspects come before the engines: from then on it sends requests. They are
-    // no message of their own: of what joins cost, nearly all is single messages.
+    // Suspected requests have to arrive before the engines, as the gateway sends
+    // requests from then on. They are part of the welcome because the cost of joins
+    // is nearly all in the number of messages.
     const cases = options.quarantine.list();
     const limits = options.limits.list();
     send(session, { type: "welcome", controlAddresses, cases, limits });
     sendConfig(session);
-    write(session, news.formatEngines());
-    // The read was confirmed after the hello was sent, as with any beat.
-    confirm(session, sentMs);
-    // Who has just started knows nobody, and names itself alone to callers.
-    const isAwaited = hello.knowsGateways === false && awaited.hasExpected();
-    if (toldGateways || isAwaited) tellGateways(session);
+    write(session, codec.formatEngines());
+    // Leadership was confirmed after the hello was sent, as with any heartbeat.
+    acknowledge(session, sentMs);
+    // A gateway that has just started knows no others, and would name only itself to
+    // callers.
+    const needsRecorded = hello.knowsGateways === false &&
+      awaitedGateways.hasRecorded();
+    if (publishedGateways || needsRecorded) sendGateways(session);
     log("gatewayJoined", { vm: gateway.vm, version });
   }
 
-  function tellGateways(session: Session): void {
-    const gateways = getCountedGateways();
+  function sendGateways(session: Session): void {
+    const gateways = listKnownGateways();
     send(session, { type: "gateways", isWhole: true, gateways, gone: [] });
   }
 
-  function takeBeat(
+  function handleHeartbeat(
     session: Session,
     beat: GatewayMessage & { type: "beat" },
   ): void {
     const { gateway } = session;
     if (!gateway || sessions.get(gateway.vm) !== session) return;
-    session.heardMs = listeningNow();
+    session.lastSeenMs = listeningNow();
     if (beat.loads) session.loads = beat.loads;
     if (beat.version !== undefined) rollout.noteHeld(gateway.vm, beat.version);
     tally.take(gateway.vm, beat.activity ?? {});
@@ -264,7 +274,7 @@
       options.onSuspects(gateway.vm, beat.suspects);
       options.onSlow(beat.suspects);
     }
-    if (beat.lost) tellLost(gateway, beat.lost);
+    if (beat.lost) reportLostEngines(gateway, beat.lost);
     if (beat.leaving) options.onLeaving(beat.leaving);
     beat.limits?.forEach(options.limits.take);
     options.quarantine.take(gateway.vm, beat);
@@ -273,16 +283,16 @@
     }
     if (beat.slowEngines) options.onSlow(beat.slowEngines);
     if (!options.hasLease()) return;
-    confirm(session, beat.sentMs);
-    lendRepeats(session, beat);
+    acknowledge(session, beat.sentMs);
+    grantRetries(session, beat);
     grantTrials(session, beat);
   }
 
-  function tellLost(
+  function reportLostEngines(
     { vm, place }: GatewayRecord,
     found: readonly string[],
   ): void {
-    const engineIds = losses.take({ vm, place, engineIds: found });
+    const engineIds = lossReports.take({ vm, place, engineIds: found });
     if (engineIds.length === 0) return;
     for (const session of sessions.values()) {
       if (session.gateway?.place !== place) continue;
@@ -291,8 +301,8 @@
     log("engineFoundLost", { engineIds, place });
   }
 
-  // Only while it surely leads: no other leader lends at the same time.
-  function lendRepeats(
+  // Only under the lease, so that no two leaders grant retries at the same time.
+  function grantRetries(
     session: Session,
     { repeatsWanted = {}, sentMs }: GatewayMessage & { type: "beat" },
   ): void {
@@ -303,7 +313,7 @@
     }
   }
 
-  // Only while it surely leads: two leaders would grant a limit twice.
+  // Only under the lease, as two leaders would grant the same limit twice.
   function grantSends(
     session: Session,
     { counts, askedMs }: GatewayMessage & { type: "grantRequest" },
@@ -329,15 +339,15 @@
     { trialsWanted = [], sentMs }: GatewayMessage & { type: "beat" },
   ): void {
     const vm = session.gateway?.vm ?? "";
-    for (const wish of trialsWanted) {
-      const engineId = options.quarantine.grantTrial(vm, wish);
+    for (const wantedTrial of trialsWanted) {
+      const engineId = options.quarantine.grantTrial(vm, wantedTrial);
       if (engineId === undefined) continue;
-      const { requestKey } = wish;
+      const { requestKey } = wantedTrial;
       send(session, { type: "trial", requestKey, engineId, askedMs: sentMs });
     }
   }
 
-  function confirm(session: Session, sentMs: number): void {
+  function acknowledge(session: Session, sentMs: number): void {
     const version = options.getAccepted()?.version ?? -1;
     send(session, { type: "beatAck", sentMs, version });
   }
@@ -347,28 +357,28 @@
       stream,
       gateway: undefined,
       sentVersion: -1,
-      heardMs: listeningNow(),
+      lastSeenMs: listeningNow(),
       openedMs: listeningNow(),
       loads: undefined,
       isClosed: false,
     };
     stream.on("data", (received: wire.FleetMessage) => {
-      const message = news.parse(received);
-      if (message.type === "beat") takeBeat(session, message);
+      const message = codec.parse(received);
+      if (message.type === "beat") handleHeartbeat(session, message);
       else if (message.type === "grantRequest") grantSends(session, message);
-      else takeHello(session, message);
+      else handleHello(session, message);
     });
-    stream.on("error", () => noteClosed(session));
+    stream.on("error", () => handleClosed(session));
     stream.on("end", () => stream.end());
-    stream.on("close", () => noteClosed(session));
+    stream.on("close", () => handleClosed(session));
   }
 
-  function noteClosed(session: Session): void {
+  function handleClosed(session: Session): void {
     session.isClosed = true;
-    forget(session);
+    removeSession(session);
   }
 
-  function forget(session: Session): void {
+  function removeSession(session: Session): void {
     const { gateway } = session;
     if (!gateway || sessions.get(gateway.vm) !== session) return;
     sessions.delete(gateway.vm);
@@ -377,34 +387,36 @@
     log("gatewayLost", { vm: gateway.vm });
   }
 
-  // Those with a session, and those that are still waited for.
-  function getCountedGateways(): GatewayRecord[] {
+  // Gateways with a session, and recorded ones that may still return.
+  function listKnownGateways(): GatewayRecord[] {
     const present = [...sessions.values()]
       .flatMap(({ gateway }) => gateway ? [gateway] : []);
-    return [...present, ...awaited.list()]
+    return [...present, ...awaitedGateways.list()]
       .sort((a, b) => a.vm < b.vm ? -1 : 1);
   }
 
   function knowsAllGateways(): boolean {
-    return options.knowsAllGateways() && awaited.list().length === 0;
+    return options.knowsAllGateways() && awaitedGateways.list().length === 0;
   }
 
-  function knowsAllLoads(): boolean {
+  function hasAllLoads(): boolean {
     return [...sessions.values()].every(({ loads, openedMs }) =>
-      loads !== undefined || listeningNow() - openedMs >= FIRST_LOADS_MS
+      loads !== undefined || listeningNow() - openedMs >= FIRST_LOADS_TIMEOUT_MS
     );
   }
 
-  // Once a tick, and only what changed: when many gateways change together,
-  // each piece of news goes to all of them. A new leader's first few would
-  // empty the callers' choice.
+  // Runs once per tick and sends only changes: every message goes to all gateways, so
+  // many that change together have to share one. A new leader waits for all gateways,
+  // as a list of the first few would leave callers with too few to choose from.
   function publishGateways(): void {
     if (!knowsAllGateways()) return;
-    const current = new Map(getCountedGateways().map((one) => [one.vm, one]));
-    const told = toldGateways ?? new Map<string, GatewayRecord>();
-    const isWhole = toldGateways === undefined;
-    const { changed, gone } = findMapChanges(told, current, isSameGateway);
-    toldGateways = current;
+    const current = new Map(
+      listKnownGateways().map((gateway) => [gateway.vm, gateway]),
+    );
+    const previous = publishedGateways ?? new Map<string, GatewayRecord>();
+    const isWhole = publishedGateways === undefined;
+    const { changed, gone } = findMapChanges(previous, current, isSameGateway);
+    publishedGateways = current;
     if (!isWhole && changed.length + gone.length === 0) return;
     broadcast({ type: "gateways", isWhole, gateways: changed, gone });
   }
@@ -413,46 +425,48 @@
     handleSession,
     publishConfig(version) {
       rollout.noteAccepted(version);
-      gathering ??= setTimeout(() => {
-        gathering = undefined;
+      batchTimer ??= setTimeout(() => {
+        batchTimer = undefined;
         sendConfigToAll();
-      }, CONFIG_GATHER_MS);
+      }, CONFIG_BATCH_MS);
     },
     expectGateways(recorded) {
       const present = new Set(sessions.keys());
-      awaited.expect([...recorded].filter(({ vm }) => !present.has(vm)));
+      awaitedGateways.beginWait(
+        [...recorded].filter(({ vm }) => !present.has(vm)),
+      );
     },
-    getToldGateways: () => toldGateways,
+    getToldGateways: () => publishedGateways,
     publishEngines(change) {
-      news.forgetEngines();
+      codec.forgetEngines();
       broadcast({ type: "engines", isWhole: false, ...change });
     },
     publish: broadcast,
     publishAllEngines() {
-      news.forgetEngines();
-      writeToAll(news.formatEngines());
+      codec.forgetEngines();
+      writeToAll(codec.formatEngines());
     },
     tick() {
       for (const session of sessions.values()) {
-        if (listeningNow() - session.heardMs < SILENCE_MS) continue;
-        forget(session);
+        if (listeningNow() - session.lastSeenMs < SESSION_TIMEOUT_MS) continue;
+        removeSession(session);
         session.stream.end();
       }
-      awaited.tick();
+      awaitedGateways.tick();
       publishGateways();
     },
     publishLoads() {
-      // A part of the gateways told as all would make engines look empty, and a
-      // new leader has not counted streams for a whole window yet.
+      // Loads of only some gateways would make engines look idle. A new leader also
+      // hasn't counted streams for a whole window yet.
       if (!knowsAllGateways()) return;
-      if (toldLoads === "" && !knowsAllLoads()) return;
+      if (publishedLoads === "" && !hasAllLoads()) return;
       const loads = sumLoads(
         [...sessions.values()].map((session) => session.loads ?? {}),
       );
       const activity = tally.get();
-      const told = JSON.stringify([loads, activity]);
-      if (told === toldLoads) return;
-      toldLoads = told;
+      const serialized = JSON.stringify([loads, activity]);
+      if (serialized === publishedLoads) return;
+      publishedLoads = serialized;
       broadcast({ type: "loads", loads, activity });
     },
     closeAll() {
@@ -463,11 +477,11 @@
         rollout.forget(vm);
       }
       sessions.clear();
-      // Should it lead again, engines that were there now may be gone.
-      news.forgetEngines();
-      toldGateways = undefined;
-      toldLoads = "";
-      awaited.reset();
+      // If it leads again later, the cached list of engines would be outdated.
+      codec.forgetEngines();
+      publishedGateways = undefined;
+      publishedLoads = "";
+      awaitedGateways.reset();
     },
   };
 }
--- a/src/fleet/create_gateway_sessions_test.ts
+++ b/src/fleet/create_gateway_sessions_test.ts
@@ -36,14 +36,14 @@
 
 /** A gateway's end of a session. */
 class FakeStream extends EventEmitter {
-  readonly taken: LeaderMessage[] = [];
+  readonly received: LeaderMessage[] = [];
   readonly numbers = createEngineNumbers();
-  takenBytes = 0;
+  receivedBytes = 0;
   readonly writableLength = 0;
 
   write(message: wire.FleetMessage): void {
-    this.takenBytes += wire.FleetMessage.encode(message).finish().length;
-    this.taken.push(parseLeaderMessage(message, this.numbers));
+    this.receivedBytes += wire.FleetMessage.encode(message).finish().length;
+    this.received.push(parseLeaderMessage(message, this.numbers));
   }
 
   sendMetadata(): void {}
@@ -52,12 +52,12 @@
     this.emit("close");
   }
 
-  say(message: GatewayMessage): void {
+  send(message: GatewayMessage): void {
     this.emit("data", formatGatewayMessage(message, this.numbers));
   }
 
-  takeNews(): LeaderMessage[] {
-    return this.taken.splice(0)
+  takeUpdates(): LeaderMessage[] {
+    return this.received.splice(0)
       .filter(({ type }) => type === "gateways" || type === "loads");
   }
 }
@@ -108,7 +108,7 @@
   const stream = new FakeStream();
   sessions.handleSession(stream as unknown as SessionStream);
   const gateway = makeGateway(vm);
-  stream.say({ type: "hello", gateway, version, sentMs: 0, ...known });
+  stream.send({ type: "hello", gateway, version, sentMs: 0, ...known });
   await new Promise((resolve) => setImmediate(resolve));
   return stream;
 }
@@ -118,33 +118,35 @@
   return { version, packed: packDocument(document) };
 }
 
-/** Version of the configuration that a gateway was told last. */
-function toldVersion(taken: readonly LeaderMessage[]): number | undefined {
-  const told = taken.findLast(({ type }) =>
+/** Gets the version of the configuration that a gateway received last. */
+function getReceivedVersion(
+  received: readonly LeaderMessage[],
+): number | undefined {
+  const latest = received.findLast(({ type }) =>
     type === "config" || type === "configChange"
   );
-  return told && "version" in told ? told.version : undefined;
+  return latest && "version" in latest ? latest.version : undefined;
 }
 
 const BEAT = { type: "beat", sentMs: 0, suspects: [] } as const;
 
-test("gateways that change together are one piece of news to each", async () => {
+test("gateways that change together are published in one message", async () => {
   const sessions = makeSessions();
   const streams = [];
   for (const vm of ["g1", "g2", "g3"]) streams.push(await join(sessions, vm));
   sessions.tick();
-  for (const stream of streams) stream.takeNews();
-  streams[0].say({ ...BEAT, isReady: false });
-  streams[1].say({ ...BEAT, isReady: false });
+  for (const stream of streams) stream.takeUpdates();
+  streams[0].send({ ...BEAT, isReady: false });
+  streams[1].send({ ...BEAT, isReady: false });
   sessions.tick();
   sessions.tick();
-  const [news, ...rest] = streams[2].takeNews();
+  const [update, ...rest] = streams[2].takeUpdates();
   assert.equal(rest, []);
-  assert.ok(news.type === "gateways" && !news.isWhole);
-  assert.equal(news.gateways.map(({ vm }) => vm), ["g1", "g2"]);
+  assert.ok(update.type === "gateways" && !update.isWhole);
+  assert.equal(update.gateways.map(({ vm }) => vm), ["g1", "g2"]);
   streams[0].end();
   sessions.tick();
-  const [left] = streams[2].takeNews();
+  const [left] = streams[2].takeUpdates();
   assert.ok(left.type === "gateways");
   assert.equal(left.gone, ["g1"]);
   assert.equal(left.gateways, []);
@@ -161,56 +163,57 @@
   const newer = await join(sessions, "g1");
   left.end();
   confirmed.reverse().forEach((confirm) => confirm());
-  await until("it is welcomed", () => newer.taken.length > 0);
-  newer.say({ ...BEAT, isReady: true });
-  assert.is(newer.taken.at(-1)?.type, "beatAck");
+  await until("it is welcomed", () => newer.received.length > 0);
+  newer.send({ ...BEAT, isReady: true });
+  assert.is(newer.received.at(-1)?.type, "beatAck");
   assert.equal(lost, ["gatewayJoined"]);
 });
 
-test("who joins is told all gateways, the others who joined", async () => {
+test("a new gateway receives the full list, the others only the change", async () => {
   const sessions = makeSessions();
   const first = await join(sessions, "g1");
   sessions.tick();
-  first.takeNews();
+  first.takeUpdates();
   const second = await join(sessions, "g2");
-  const [whole] = second.takeNews();
-  assert.ok(whole.type === "gateways" && whole.isWhole);
-  assert.equal(whole.gateways.map(({ vm }) => vm), ["g1", "g2"]);
-  assert.equal(first.takeNews(), []);
+  const [fullList] = second.takeUpdates();
+  assert.ok(fullList.type === "gateways" && fullList.isWhole);
+  assert.equal(fullList.gateways.map(({ vm }) => vm), ["g1", "g2"]);
+  assert.equal(first.takeUpdates(), []);
   sessions.tick();
-  const [joined] = first.takeNews();
+  const [joined] = first.takeUpdates();
   assert.ok(joined.type === "gateways" && !joined.isWhole);
   assert.equal(joined.gateways.map(({ vm }) => vm), ["g2"]);
 });
 
-// Gateways divide bounds among as many as they are told.
-test("a gateway that starts with the fleet is told no part of the gateways", async () => {
+// Gateways divide fleet-wide limits by the number of gateways that they know, so a
+// partial list would give each too large a share.
+test("a gateway that starts with the fleet receives no partial list of gateways", async () => {
   const sessions = makeSessions(ENGINES, { knowsAllGateways: () => false });
   const first = await join(sessions, "g1", -1, { knowsGateways: false });
   sessions.tick();
-  assert.equal(first.takeNews(), []);
+  assert.equal(first.takeUpdates(), []);
   assert.is(sessions.getToldGateways(), undefined);
 });
 
-test("a gateway that starts under a new leader is told those that are recorded", async () => {
+test("a gateway that starts under a new leader receives the recorded gateways", async () => {
   const sessions = makeSessions(ENGINES, { knowsAllGateways: () => false });
   const recorded = ["g1", "g2"].map((vm) => makeGateway(vm));
   sessions.expectGateways(recorded);
   const back = await join(sessions, "g1", -1, { knowsGateways: true });
   const started = await join(sessions, "g3", -1, { knowsGateways: false });
-  assert.equal(back.takeNews(), []);
-  const [whole] = started.takeNews();
-  assert.ok(whole.type === "gateways" && whole.isWhole);
-  assert.equal(whole.gateways.map(({ vm }) => vm), ["g1", "g2", "g3"]);
+  assert.equal(back.takeUpdates(), []);
+  const [fullList] = started.takeUpdates();
+  assert.ok(fullList.type === "gateways" && fullList.isWhole);
+  assert.equal(fullList.gateways.map(({ vm }) => vm), ["g1", "g2", "g3"]);
 });
 
-test("all gateways are told one sum of their work, when it has changed", async () => {
+test("all gateways receive the sum of their loads once, when it has changed", async () => {
   const sessions = makeSessions();
   const streams = [await join(sessions, "g1"), await join(sessions, "g2")];
   sessions.tick();
-  for (const stream of streams) stream.takeNews();
+  for (const stream of streams) stream.takeUpdates();
   const loads = { e1: { tokens: 5, requests: 1 } };
-  for (const stream of streams) stream.say({ ...BEAT, isReady: true, loads });
+  for (const stream of streams) stream.send({ ...BEAT, isReady: true, loads });
   sessions.publishLoads();
   sessions.publishLoads();
   const sum = {
@@ -218,32 +221,32 @@
     loads: { e1: { tokens: 10, requests: 2 } },
     activity: {},
   };
-  assert.equal(streams[0].takeNews(), [sum]);
-  assert.equal(streams[1].takeNews(), [sum]);
+  assert.equal(streams[0].takeUpdates(), [sum]);
+  assert.equal(streams[1].takeUpdates(), [sum]);
 });
 
-test("one that leads again tells no engines that went meanwhile", async () => {
+test("a process that leads again doesn't publish engines that departed meanwhile", async () => {
   const engines = [...ENGINES];
   const sessions = makeSessions(engines);
   await join(sessions, "g1");
   sessions.closeAll();
   engines.pop();
   const stream = await join(sessions, "g1");
-  const list = stream.taken.find(({ type }) => type === "engines");
+  const list = stream.received.find(({ type }) => type === "engines");
   assert.ok(list?.type === "engines");
   assert.equal(list.engines.map(({ engineId }) => engineId), ["e0"]);
 });
 
-test("limits are told with the welcome, before the engines", async () => {
-  const told = { engineId: "e0", limitPerS: 4, version: 1 };
-  const limits = { take: () => {}, grant: () => [], list: () => [told] };
+test("rate limits are sent with the welcome, before the engines", async () => {
+  const limit = { engineId: "e0", limitPerS: 4, version: 1 };
+  const limits = { take: () => {}, grant: () => [], list: () => [limit] };
   const sessions = makeSessions(ENGINES, { limits });
-  const { taken } = await join(sessions, "g1");
-  assert.ok(taken[0].type === "welcome");
-  assert.equal(taken[0].limits, [told]);
+  const { received } = await join(sessions, "g1");
+  assert.ok(received[0].type === "welcome");
+  assert.equal(received[0].limits, [limit]);
 });
 
-test("only a leader with its lease grants sends, and others say so at once", async () => {
+test("only a leader with its lease grants sends; without it they are denied at once", async () => {
   const reported: unknown[] = [];
   const grants = [{ engineId: "e0", count: 1, retryAfterMs: 0 }];
   let hasLease = true;
@@ -257,12 +260,12 @@
   });
   const stream = await join(sessions, "g1");
   const report = { engineId: "e0", limitPerS: 4 };
-  stream.say({ ...BEAT, isReady: true, limits: [report] });
+  stream.send({ ...BEAT, isReady: true, limits: [report] });
   assert.equal(reported, [report]);
   const request = { type: "grantRequest", counts: { e0: 1 }, askedMs: 5 };
   const ask = () => {
-    stream.say(request as GatewayMessage);
-    return stream.taken[stream.taken.length - 1];
+    stream.send(request as GatewayMessage);
+    return stream.received[stream.received.length - 1];
   };
   assert.equal(ask(), { type: "grants", grants, askedMs: 5 });
   hasLease = false;
@@ -272,7 +275,7 @@
   assert.ok(denied.grants[0].retryAfterMs > 0);
 });
 
-test("a grown configuration is compared once for all gateways, not once for each", async () => {
+test("a configuration change is computed once for all gateways, not once for each", async () => {
   const metrics = createMetrics();
   const history = createConfigHistory({ decodeConfig });
   let accepted = makeAccepted(3, { routes: 245 });
@@ -290,16 +293,16 @@
   history.note(accepted);
   sessions.publishConfig(accepted.version);
   await until(
-    "all are told",
-    () => streams.every(({ taken }) => toldVersion(taken) === 5),
+    "all gateways have received version 5",
+    () => streams.every(({ received }) => getReceivedVersion(received) === 5),
   );
   assert.is(metrics.getCounters()["config.changes_made"], 1);
 });
 
-/** Bytes that a link of 100 Mbit/s carries in a fifth of a second. */
+/** Bytes that a 100 Mbit/s link carries in 200 ms. */
 const LINK_BYTES = 2_500_000;
 
-test("a new leader's first words to 200 gateways don't hold up its heartbeats", async () => {
+test("a new leader's first messages to 200 gateways don't delay its heartbeats", async () => {
   const engines = Array.from({ length: 221 }, (_, at) => ({
     ...ENGINES[0],
     engineId: `i-${(Math.imul(at + 1, 2_654_435_761) >>> 0).toString(16)}`,
@@ -312,14 +315,14 @@
   for (let at = 0; at < 200; at++) {
     streams.push(await join(sessions, `front-place-${at % 5}-${at}`));
   }
-  const joinBytes = streams.reduce((sum, one) => sum + one.takenBytes, 0);
-  assert.ok(joinBytes < LINK_BYTES, `${joinBytes} to who joins`);
+  const joinBytes = streams.reduce((sum, one) => sum + one.receivedBytes, 0);
+  assert.ok(joinBytes < LINK_BYTES, `${joinBytes} bytes to joining gateways`);
   sessions.publishAllEngines();
   sessions.tick();
-  const allBytes = streams.reduce((sum, one) => sum + one.takenBytes, 0);
+  const allBytes = streams.reduce((sum, one) => sum + one.receivedBytes, 0);
   assert.ok(
     allBytes - joinBytes < LINK_BYTES,
-    `${allBytes - joinBytes} to all`,
+    `${allBytes - joinBytes} bytes to all gateways`,
   );
 });
 
--- a/src/fleet/create_hello_queue.ts
+++ b/src/fleet/create_hello_queue.ts
@@ -1,10 +1,11 @@
 /**
- * Hellos of gateways that can't be answered yet.
+ * Queue of gateways' hellos that can't be answered yet.
  *
- * All gateways look for a leader at once, and whoever is sent away asks again. So a
- * control process that knows no leader keeps a hello until it does: a gateway that
- * waits costs nothing, and the load of a search doesn't grow with its length. A
- * leader takes gateways in a few at a time, so that its heartbeats go out meanwhile.
+ * After a leader change all gateways search for the new leader at once, and a gateway
+ * that is turned down retries. A control process that knows no leader therefore holds
+ * each hello until it does: a waiting gateway costs nothing, and the load doesn't grow
+ * with the length of the search. A leader welcomes a few gateways per turn of the event
+ * loop, so that its own heartbeats are sent in between.
  *
  * @module
  */
@@ -12,22 +13,25 @@
 import type { Logger } from "../logs/index.ts";
 import type { Metrics } from "../metrics/index.ts";
 
-/** A hello that waits for its answer. */
-export interface WaitingHello {
-  /** Whether the gateway has gone elsewhere. */
+/** A hello that has not been answered yet. */
+export interface PendingHello {
+  /** Whether the gateway has closed the session. */
   isClosed(): boolean;
-  /** Takes the gateway in. */
+  /** Opens the gateway's session with this leader. */
   welcome(): void;
-  /** Sends it to another control process; an empty address names none. */
+  /** Redirects it to another control process; empty if no leader is known. */
   redirect(address: string): void;
 }
 
-/** What the queue needs of its program. */
+/** Dependencies of {@link createHelloQueue}. */
 export interface CreateHelloQueueOptions {
   readonly isLeader: () => boolean;
-  /** Resolves once this process surely leads and knows what is recorded. */
+  /**
+   * Resolves once a quorum has confirmed that this process leads and it has applied
+   * what earlier leaders recorded.
+   */
   readonly confirmRead: () => Promise<void>;
-  /** Address of a leader that was heard of just now; empty if none was. */
+  /** Address of a leader that was in contact recently; empty if there is none. */
   readonly getLeaderAddress: () => string;
   /** Monotonic time, in ms. */
   readonly now: () => number;
@@ -35,25 +39,25 @@
   readonly metrics: Pick<Metrics, "count" | "gauge">;
 }
 
-/** Hellos that wait for their answers. */
+/** Queue of hellos. */
 export interface HelloQueue {
-  /** Answers a hello as soon as it can be answered. */
-  take(hello: WaitingHello): void;
+  /** Answers a hello now if possible, and otherwise once a leader is known. */
+  enqueue(hello: PendingHello): void;
 }
 
-/** Ms between two looks at the hellos that wait for a leader. */
-const LOOK_INTERVAL_MS = 50;
+/** Ms between two checks of the hellos that wait for a leader. */
+const CHECK_INTERVAL_MS = 50;
 
-/** Ms after which a gateway is told that no leader is known here. */
+/** Longest time, in ms, that a hello waits before its gateway is redirected elsewhere. */
 const MAX_WAIT_MS = 10_000;
 
-/** Gateways that are taken in within one turn of the event loop. */
-const WELCOMES_PER_TURN = 8;
+/** Gateways that are welcomed within one turn of the event loop. */
+const MAX_WELCOMES_PER_TURN = 8;
 
 /**
- * Makes the queue, empty.
+ * Creates an empty queue.
  *
- * @param options - Who leads, time, logs and metrics.
+ * @param options - Leadership, clock, logger and metrics.
  * @returns The queue.
  * @throws Nothing.
  * @example
@@ -61,35 +65,35 @@
  */
 export function createHelloQueue(options: CreateHelloQueueOptions): HelloQueue {
   const { now, log, metrics } = options;
-  // Those for which no leader is known, with the time at which they came.
-  const waiting = new Map<WaitingHello, number>();
-  // Those for which this process has to make sure that it leads.
-  let arrived: WaitingHello[] = [];
-  // Those that may be welcomed.
-  const ready: WaitingHello[] = [];
-  let welcomesLeft = WELCOMES_PER_TURN;
-  let isTurnDue = false;
+  // Hellos that wait until a leader is known, with their time of arrival.
+  const waiting = new Map<PendingHello, number>();
+  // Hellos that wait until this process has confirmed that it leads.
+  let unconfirmed: PendingHello[] = [];
+  // Hellos that may be welcomed.
+  const ready: PendingHello[] = [];
+  let welcomesLeft = MAX_WELCOMES_PER_TURN;
+  let isTurnScheduled = false;
   let timer: ReturnType<typeof setTimeout> | undefined;
 
-  function look(): void {
+  function checkWaiting(): void {
     timer = undefined;
     for (const [hello, sinceMs] of waiting) {
       if (!answer(hello, sinceMs)) continue;
       waiting.delete(hello);
     }
     metrics.gauge("control.hellos_waiting", waiting.size);
-    if (waiting.size > 0) armLook();
+    if (waiting.size > 0) scheduleCheck();
   }
 
-  function armLook(): void {
-    timer ??= setTimeout(look, LOOK_INTERVAL_MS);
+  function scheduleCheck(): void {
+    timer ??= setTimeout(checkWaiting, CHECK_INTERVAL_MS);
   }
 
-  function answer(hello: WaitingHello, sinceMs: number): boolean {
+  function answer(hello: PendingHello, sinceMs: number): boolean {
     if (hello.isClosed()) return true;
     if (options.isLeader()) {
-      if (arrived.length === 0) queueMicrotask(admitArrived);
-      arrived.push(hello);
+      if (unconfirmed.length === 0) queueMicrotask(admitUnconfirmed);
+      unconfirmed.push(hello);
       return true;
     }
     const address = options.getLeaderAddress();
@@ -99,49 +103,49 @@
     return true;
   }
 
-  async function admitArrived(): Promise<void> {
-    const admitted = arrived;
-    arrived = [];
+  async function admitUnconfirmed(): Promise<void> {
+    const admitted = unconfirmed;
+    unconfirmed = [];
     try {
       await options.confirmRead();
     } catch (error) {
       log("callFailed", { call: "hello", count: admitted.length, error });
-      return admitted.forEach(wait);
+      return admitted.forEach(addWaiting);
     }
     ready.push(...admitted);
     welcomeReady();
   }
 
-  function wait(hello: WaitingHello): void {
+  function addWaiting(hello: PendingHello): void {
     waiting.set(hello, now());
-    armLook();
+    scheduleCheck();
   }
 
   function welcomeReady(): void {
     while (welcomesLeft > 0 && ready.length > 0) welcome(ready.shift());
-    if (welcomesLeft === WELCOMES_PER_TURN || isTurnDue) return;
-    isTurnDue = true;
+    if (welcomesLeft === MAX_WELCOMES_PER_TURN || isTurnScheduled) return;
+    isTurnScheduled = true;
     setImmediate(beginTurn);
   }
 
   function beginTurn(): void {
-    isTurnDue = false;
-    welcomesLeft = WELCOMES_PER_TURN;
+    isTurnScheduled = false;
+    welcomesLeft = MAX_WELCOMES_PER_TURN;
     welcomeReady();
   }
 
-  function welcome(hello: WaitingHello | undefined): void {
+  function welcome(hello: PendingHello | undefined): void {
     if (!hello || hello.isClosed()) return;
-    // It lost its lead while the hello was in line.
-    if (!options.isLeader()) return wait(hello);
+    // This process lost the leadership while the hello was queued.
+    if (!options.isLeader()) return addWaiting(hello);
     welcomesLeft -= 1;
     hello.welcome();
   }
 
   return {
-    take(hello) {
+    enqueue(hello) {
       metrics.count("control.hellos");
-      if (!answer(hello, now())) wait(hello);
+      if (!answer(hello, now())) addWaiting(hello);
     },
   };
 }
--- a/src/fleet/create_hello_queue_test.ts
+++ b/src/fleet/create_hello_queue_test.ts
@@ -19,8 +19,8 @@
   return {
     state,
     answers,
-    say: (isClosed = false) =>
-      queue.take({
+    sendHello: (isClosed = false) =>
+      queue.enqueue({
         isClosed: () => isClosed,
         welcome: () => void answers.push("welcome"),
         redirect: (address) => void answers.push(`to ${address}`),
@@ -28,47 +28,48 @@
   };
 }
 
-/** Ms in which the queue has looked at what waits. */
-const LOOK_MS = 120;
+/** Time in ms within which the queue has checked waiting hellos at least once. */
+const CHECK_MS = 120;
 
-// Each gateway that was sent away asked again within 100 ms.
+// Guards against a retry storm: gateways that were redirected without a leader's
+// address retried within 100 ms each.
 test("a hello waits until a leader is known, and is answered once", async () => {
-  const { state, answers, say } = startQueue();
-  say();
-  say();
-  await sleep(LOOK_MS);
+  const { state, answers, sendHello } = startQueue();
+  sendHello();
+  sendHello();
+  await sleep(CHECK_MS);
   assert.equal(answers, []);
   state.leaderAddress = "b:1";
-  await until("they are sent there", () => answers.length === 2);
-  await sleep(LOOK_MS);
+  await until("both are redirected", () => answers.length === 2);
+  await sleep(CHECK_MS);
   assert.equal(answers, ["to b:1", "to b:1"]);
 });
 
-test("who waits is taken in by a process that comes to lead", async () => {
-  const { state, answers, say } = startQueue();
-  say();
-  say(true);
+test("a waiting gateway is welcomed when this process becomes the leader", async () => {
+  const { state, answers, sendHello } = startQueue();
+  sendHello();
+  sendHello(true);
   state.isLeader = true;
-  await until("it is taken in", () => answers.length > 0);
-  await sleep(LOOK_MS);
+  await until("it is welcomed", () => answers.length > 0);
+  await sleep(CHECK_MS);
   assert.equal(answers, ["welcome"]);
 });
 
-test("a gateway is told when no leader comes to be known", async () => {
-  const { state, answers, say } = startQueue();
-  say();
+test("a gateway is redirected without an address when no leader becomes known", async () => {
+  const { state, answers, sendHello } = startQueue();
+  sendHello();
   state.nowMs = 9_000;
-  await sleep(LOOK_MS);
+  await sleep(CHECK_MS);
   assert.equal(answers, []);
   state.nowMs = 10_000;
-  await until("it is told", () => answers.length > 0);
+  await until("it is redirected", () => answers.length > 0);
   assert.equal(answers, ["to "]);
 });
 
-test("many gateways are taken in over several turns of the event loop", async () => {
-  const { state, answers, say } = startQueue();
+test("many gateways are welcomed over several turns of the event loop", async () => {
+  const { state, answers, sendHello } = startQueue();
   state.isLeader = true;
-  for (let at = 0; at < 100; at++) say();
+  for (let at = 0; at < 100; at++) sendHello();
   const counts: number[] = [];
   while (answers.length < 100) {
     const before = answers.length;
