--- a/src/fleet/add_quarantine_routes.ts
+++ b/src/fleet/add_quarantine_routes.ts
@@ -1,5 +1,5 @@
 /**
- * The operators' calls about requests that are held back.
+ * Operator API for requests that are held back because they may crash upstreams.
  *
  * @module
  */
@@ -7,14 +7,14 @@
 import type { FastifyInstance, FastifyReply } from "fastify";
 import type { FleetCall, FleetReply } from "./messages.ts";
 
-/** Where requests under suspicion are listed, and each of them lifted. */
+/** Lists suspected requests; a DELETE below it releases one of them. */
 const QUARANTINE_PATH = "/v1/quarantine";
 
 /**
- * Adds the calls to a control process's server.
+ * Adds the quarantine routes to a control process's HTTP server.
  *
  * @param api - The server.
- * @param options - Who answers calls.
+ * @param options - The function that answers calls, here or through the leader.
  * @returns Nothing.
  * @throws Nothing.
  * @example
@@ -38,7 +38,8 @@
   });
 }
 
-// Another control process may know the leader, or this one in a moment.
+// 503, so that the client retries: another control process may know the leader, or
+// this one may learn of it shortly.
 function refuse(reply: FastifyReply, answer: FleetReply): FastifyReply {
   const title = answer.type === "unavailable" ? answer.reason : answer.type;
   return reply.code(503).send({ reason: "not_leader", title });
--- a/src/fleet/create_engine_numbers.ts
+++ b/src/fleet/create_engine_numbers.ts
@@ -1,6 +1,6 @@
 /**
- * Short numbers for engines within one session, so that news of their work
- * names each in a byte or two in place of its id.
+ * Short numbers for engines within one session, so that updates of their loads name
+ * each in a byte or two instead of its id.
  *
  * @module
  */
@@ -8,25 +8,25 @@
 import type { wire } from "../wire/index.ts";
 import type { EngineLoads } from "./messages.ts";
 
-/** The numbers that engines have within a session. */
+/** The numbers of engines within a session. */
 export interface EngineNumbers {
-  /** Gets an engine's number; one that has none is given the next. */
+  /** Gets an engine's number, or assigns the next one. */
   assign(engineId: string): number;
-  /** Takes a number that the other side gave. */
+  /** Stores a number that the other side assigned. */
   learn(engineId: string, number: number): void;
-  /** Leaves out the loads of engines that have no number. */
+  /** Filters out the loads of engines without a number. */
   keepNumbered(loads: EngineLoads): EngineLoads;
-  /** Writes loads as columns; engines without a number are left out. */
+  /** Encodes loads as columns; engines without a number are left out. */
   formatLoads(loads: EngineLoads): wire.EngineLoads;
-  /** Reads such columns. */
+  /** Decodes such columns; unknown numbers are left out. */
   parseLoads(columns: wire.EngineLoads): EngineLoads;
 }
 
 /**
- * Makes the numbers, none given.
+ * Creates an empty numbering.
  *
- * @returns The numbers. None is given twice, so that news that comes late never
- * speaks of another engine.
+ * @returns The numbering. No number is assigned twice, so that a late update never
+ * refers to another engine.
  * @throws Nothing.
  * @example
  * const numbers = createEngineNumbers();
@@ -50,7 +50,7 @@
       return number;
     },
     learn,
-    // The leader does not know them: it would tell nobody of their work.
+    // The leader doesn't know engines without a number and couldn't publish their loads.
     keepNumbered: (loads) =>
       Object.fromEntries(
         Object.entries(loads).filter(([engineId]) => numbers.has(engineId)),
--- a/src/fleet/create_engine_recorder.ts
+++ b/src/fleet/create_engine_recorder.ts
@@ -1,6 +1,6 @@
 /**
- * Records in the log which upstreams the leader knows, so that a new leader
- * begins with them.
+ * Records in the replicated log which upstreams the leader knows, so that a new leader
+ * starts with them.
  *
  * @module
  */
@@ -11,7 +11,7 @@
 import type { FleetCommand } from "./create_fleet_machine.ts";
 import { createRecorder, type Recorder } from "./create_recorder.ts";
 
-/** What the recorder needs of its program. */
+/** Dependencies of {@link createEngineRecorder}. */
 export interface CreateEngineRecorderOptions {
   readonly getHeard: () => readonly EngineRecord[];
   readonly getRecorded: () => ReadonlyMap<string, EngineRecord>;
@@ -21,9 +21,9 @@
 }
 
 /**
- * Makes the recorder.
+ * Creates the recorder.
  *
- * @param options - What was heard, what is recorded, how it gets there.
+ * @param options - The known and the recorded upstreams, and how to propose a command.
  * @returns The recorder.
  * @throws Nothing.
  * @example
@@ -34,17 +34,17 @@
 ): Recorder {
   const { getHeard, getRecorded, propose, log } = options;
   return createRecorder({
-    findNews: () => findEngineNews(getHeard(), getRecorded()),
+    findNews: () => findEngineChanges(getHeard(), getRecorded()),
     propose,
     onFailed: (error) => log("enginesNotRecorded", { error }),
   });
 }
 
-function findEngineNews(
-  heard: readonly EngineRecord[],
+function findEngineChanges(
+  known: readonly EngineRecord[],
   recorded: ReadonlyMap<string, EngineRecord>,
 ): FleetCommand | undefined {
-  const byId = new Map(heard.map((record) => [record.engineId, record]));
+  const byId = new Map(known.map((record) => [record.engineId, record]));
   const { changed, gone } = findMapChanges(recorded, byId, isSameRecord);
   if (changed.length + gone.length === 0) return undefined;
   return { type: "engines", changed, lost: gone };
--- a/src/fleet/create_fleet_machine.ts
+++ b/src/fleet/create_fleet_machine.ts
@@ -1,6 +1,7 @@
 /**
- * What the log's commands are applied to: the accepted configuration, the
- * upstreams that leave, and those that were last heard of.
+ * Replicated state machine of the control plane. It applies the commands of the
+ * quorum's log and holds the accepted configuration, planned leaves of upstreams, the
+ * last recorded upstreams and gateways, and suspected requests.
  *
  * @module
  */
@@ -21,7 +22,7 @@
 } from "../quarantine/index.ts";
 import type { GatewayRecord } from "./messages.ts";
 
-/** A command of the log. */
+/** A command in the replicated log. */
 export type FleetCommand =
   | {
     readonly type: "putConfig";
@@ -31,33 +32,33 @@
   }
   | {
     readonly type: "leave";
-    /** A run, or an upstream of which no run was known. */
+    /** Incarnation of an upstream, or the upstream's name if none was known. */
     readonly engineId: string;
     readonly kind: LeaveKind;
-    /** Upstream whose leave was recorded before its run was known. */
+    /** Name under which the leave was recorded before its incarnation was known. */
     readonly name?: string;
   }
   | {
     readonly type: "engines";
-    /** Upstreams that are new or changed. */
+    /** New or changed upstreams. */
     readonly changed: readonly EngineRecord[];
-    /** Upstreams that are no longer counted on. */
+    /** Upstreams that were removed from the registry. */
     readonly lost: readonly string[];
   }
   | {
     readonly type: "gateways";
-    /** Gateways that are new or changed. */
+    /** New or changed gateways. */
     readonly changed: readonly GatewayRecord[];
-    /** VMs whose gateways are no longer counted on. */
+    /** VMs whose gateways were removed from the list. */
     readonly lost: readonly string[];
   }
   | {
-    /** Upstreams that ended when they had just begun a request. */
+    /** Upstreams that crashed just after they had begun a request. */
     readonly type: "crashes";
     readonly reports: readonly JudgedReport[];
   }
   | {
-    /** Requests that nothing speaks against any more. */
+    /** Requests that are no longer suspected. */
     readonly type: "casesCleared";
     readonly requestKeys: readonly string[];
   };
@@ -69,20 +70,20 @@
   readonly packed: string;
 }
 
-/** The state machine of one control process. */
+/** The replicated state machine of one control process. */
 export interface FleetMachine {
   getAccepted(): AcceptedConfig | undefined;
   getLeave(engineId: string): LeaveKind | undefined;
   /**
-   * Upstreams as the newest leader heard of them: what a new one begins with,
-   * so that a restart of all processes needs no beat before it serves.
+   * Upstreams that the latest leader recorded. A new leader starts from them, so that
+   * after a restart of all processes the fleet serves before the first heartbeat.
    */
   getEngines(): ReadonlyMap<string, EngineRecord>;
-  /** Gateways that the newest leader counted on. */
+  /** Gateways that the latest leader recorded. */
   getGateways(): ReadonlyMap<string, GatewayRecord>;
-  /** Requests that are suspected of ending upstreams. */
+  /** Requests that are suspected of crashing upstreams. */
   getCases(): CrashCases;
-  /** Newest runs of upstreams, also of those that are gone. */
+  /** Newest incarnation of each upstream, including departed ones. */
   getNewestRuns(): NewestRuns;
   apply(body: string): void;
   save(): string;
@@ -91,38 +92,41 @@
 
 /** Options of {@link createFleetMachine}. */
 export interface CreateFleetMachineOptions {
-  /** Called once for each command that changed something. */
+  /** Called once for each command that changed the state. */
   readonly onChange?: (command: FleetCommand) => void;
-  /** Upstreams whose leave is remembered; the oldest are forgotten first. */
+  /** Number of leaves to remember; the oldest are evicted first. */
   readonly maxLeaves?: number;
 }
 
-/** Far more than leave in an hour; a run's id is never used again. */
-const MAX_LEAVES = 5_000;
+/**
+ * Default of {@link CreateFleetMachineOptions.maxLeaves}: far more than leave within an
+ * hour. Old leaves may be evicted, as the id of an incarnation is never reused.
+ */
+const MAX_REMEMBERED_LEAVES = 5_000;
 
-interface SavedMachine {
+interface FleetSnapshot {
   readonly accepted?: AcceptedConfig;
   readonly leaves: readonly (readonly [string, LeaveKind])[];
   readonly engines: readonly EngineRecord[];
-  /** Absent in snapshots of earlier versions, as the cases are. */
+  /** These three are absent in snapshots of earlier versions. */
   readonly newestRuns?: readonly (readonly [string, NewestRun])[];
   readonly cases?: readonly CrashCase[];
   readonly gateways?: readonly GatewayRecord[];
 }
 
 /**
- * Makes the state machine, empty.
+ * Creates an empty state machine.
  *
- * @param options - Who hears of changes.
+ * @param options - Listener for changes, and bounds.
  * @returns The state machine.
  * @throws Nothing.
  * @example
- * const machine = createFleetMachine({ onChange });
+ * const machine = createFleetStateMachine({ onChange });
  */
 export function createFleetMachine(
   options: CreateFleetMachineOptions = {},
 ): FleetMachine {
-  const { onChange = () => {}, maxLeaves = MAX_LEAVES } = options;
+  const { onChange = () => {}, maxLeaves = MAX_REMEMBERED_LEAVES } = options;
   let accepted: AcceptedConfig | undefined;
   let leaves = new Map<string, LeaveKind>();
   let engines = new Map<string, EngineRecord>();
@@ -130,15 +134,15 @@
   let cases: CrashCases = new Map();
   let gateways = new Map<string, GatewayRecord>();
 
-  function takeConfig(command: FleetCommand & { type: "putConfig" }): boolean {
+  function applyConfig(command: FleetCommand & { type: "putConfig" }): boolean {
     const { version, packed } = command;
-    // The highest version holds; what comes late changes nothing.
+    // The highest version wins; versions that arrive late are ignored.
     if (accepted && version <= accepted.version) return false;
     accepted = { version, packed };
     return true;
   }
 
-  function takeLeave(command: FleetCommand & { type: "leave" }): boolean {
+  function applyLeave(command: FleetCommand & { type: "leave" }): boolean {
     const { engineId, kind, name } = command;
     if (name !== undefined) leaves.delete(name);
     const known = leaves.get(engineId);
@@ -148,42 +152,44 @@
     return true;
   }
 
-  function takeEngines(command: FleetCommand & { type: "engines" }): boolean {
+  function applyEngines(command: FleetCommand & { type: "engines" }): boolean {
     for (const engineId of command.lost) engines.delete(engineId);
     for (const record of command.changed) engines.set(record.engineId, record);
     newestRuns = command.changed.reduce(noteRun, newestRuns);
     return true;
   }
 
-  function takeGateways(command: FleetCommand & { type: "gateways" }): boolean {
+  function applyGateways(
+    command: FleetCommand & { type: "gateways" },
+  ): boolean {
     for (const vm of command.lost) gateways.delete(vm);
     for (const gateway of command.changed) gateways.set(gateway.vm, gateway);
     return true;
   }
 
-  function putCases(next: CrashCases): boolean {
-    const isNews = next !== cases;
+  function replaceCases(next: CrashCases): boolean {
+    const hasChanged = next !== cases;
     cases = next;
-    return isNews;
+    return hasChanged;
   }
 
   function clearCases(requestKeys: readonly string[]): boolean {
-    const left = [...cases].filter(([key]) => !requestKeys.includes(key));
-    return left.length < cases.size && putCases(new Map(left));
+    const remaining = [...cases].filter(([key]) => !requestKeys.includes(key));
+    return remaining.length < cases.size && replaceCases(new Map(remaining));
   }
 
-  function take(command: FleetCommand): boolean {
+  function applyCommand(command: FleetCommand): boolean {
     switch (command.type) {
       case "putConfig":
-        return takeConfig(command);
+        return applyConfig(command);
       case "leave":
-        return takeLeave(command);
+        return applyLeave(command);
       case "engines":
-        return takeEngines(command);
+        return applyEngines(command);
       case "gateways":
-        return takeGateways(command);
+        return applyGateways(command);
       case "crashes":
-        return putCases(takeCrashes(cases, command.reports));
+        return replaceCases(takeCrashes(cases, command.reports));
       case "casesCleared":
         return clearCases(command.requestKeys);
     }
@@ -198,10 +204,10 @@
     getNewestRuns: () => newestRuns,
     apply(body) {
       const command = JSON.parse(body) as FleetCommand;
-      if (take(command)) onChange(command);
+      if (applyCommand(command)) onChange(command);
     },
     save() {
-      const saved: SavedMachine = {
+      const snapshot: FleetSnapshot = {
         accepted,
         leaves: [...leaves],
         engines: [...engines.values()],
@@ -209,22 +215,24 @@
         cases: [...cases.values()],
         gateways: [...gateways.values()],
       };
-      return JSON.stringify(saved);
+      return JSON.stringify(snapshot);
     },
     restore(data) {
       if (data === "") return;
-      const saved = JSON.parse(data) as SavedMachine;
-      accepted = saved.accepted;
-      leaves = new Map(saved.leaves);
+      const snapshot = JSON.parse(data) as FleetSnapshot;
+      accepted = snapshot.accepted;
+      leaves = new Map(snapshot.leaves);
       engines = new Map(
-        saved.engines.map((record) => [record.engineId, record]),
+        snapshot.engines.map((record) => [record.engineId, record]),
       );
-      newestRuns = new Map(saved.newestRuns);
+      newestRuns = new Map(snapshot.newestRuns);
       cases = new Map(
-        (saved.cases ?? []).map((one) => [one.requestKey, one]),
+        (snapshot.cases ?? []).map((
+          crashCase,
+        ) => [crashCase.requestKey, crashCase]),
       );
       gateways = new Map(
-        (saved.gateways ?? []).map((gateway) => [gateway.vm, gateway]),
+        (snapshot.gateways ?? []).map((gateway) => [gateway.vm, gateway]),
       );
     },
   };
--- a/src/fleet/create_gateway_recorder.ts
+++ b/src/fleet/create_gateway_recorder.ts
@@ -1,7 +1,7 @@
 /**
- * Records in the log the list of gateways that all were told, so that a new leader
- * knows whom it has not heard of yet. A part of a list is never recorded: gateways
- * divide bounds among as many as they are told.
+ * Records in the replicated log the list of gateways that was published, so that a new
+ * leader knows which ones have not connected yet. A partial list is never recorded:
+ * gateways divide fleet-wide limits by the number of gateways on the list.
  *
  * @module
  */
@@ -13,9 +13,9 @@
 import { isSameGateway } from "./is_same_gateway.ts";
 import type { GatewayRecord } from "./messages.ts";
 
-/** What the recorder needs of its program. */
+/** Dependencies of {@link createGatewayRecorder}. */
 export interface CreateGatewayRecorderOptions {
-  /** The list that all were told, by VM; undefined before the first time. */
+  /** The list published last, by VM; undefined before the first one. */
   readonly getTold: () => ReadonlyMap<string, GatewayRecord> | undefined;
   readonly getRecorded: () => ReadonlyMap<string, GatewayRecord>;
   /** Resolves once the command is committed and applied. */
@@ -24,9 +24,10 @@
 }
 
 /**
- * Makes the recorder.
+ * Creates the recorder.
  *
- * @param options - What was told, what is recorded, how it gets there.
+ * @param options - The published and the recorded gateways, and how to propose a
+ * command.
  * @returns The recorder.
  * @throws Nothing.
  * @example
@@ -37,18 +38,18 @@
 ): Recorder {
   const { getTold, getRecorded, propose, log } = options;
   return createRecorder({
-    findNews: () => findGatewayNews(getTold(), getRecorded()),
+    findNews: () => findGatewayChanges(getTold(), getRecorded()),
     propose,
     onFailed: (error) => log("gatewaysNotRecorded", { error }),
   });
 }
 
-function findGatewayNews(
-  told: ReadonlyMap<string, GatewayRecord> | undefined,
+function findGatewayChanges(
+  published: ReadonlyMap<string, GatewayRecord> | undefined,
   recorded: ReadonlyMap<string, GatewayRecord>,
 ): FleetCommand | undefined {
-  if (!told) return undefined;
-  const { changed, gone } = findMapChanges(recorded, told, isSameGateway);
+  if (!published) return undefined;
+  const { changed, gone } = findMapChanges(recorded, published, isSameGateway);
   if (changed.length + gone.length === 0) return undefined;
   return { type: "gateways", changed, lost: gone };
 }
--- a/src/fleet/get_config_digest.ts
+++ b/src/fleet/get_config_digest.ts
@@ -1,19 +1,19 @@
 /**
- * Tells documents of configurations apart.
+ * Computes digests of configuration documents.
  *
  * @module
  */
 
 import { createHash } from "node:crypto";
 
-/** Characters of a digest: 96 bits. */
+/** Length of a digest in base64 characters, which is 96 bits. */
 const DIGEST_CHARS = 16;
 
 /**
- * Gets the digest of a configuration.
+ * Computes the digest of a configuration document.
  *
  * @param packed - The configuration as the operator wrote it, packed.
- * @returns The digest; another document has another one.
+ * @returns The digest; different documents have different digests.
  * @throws Nothing.
  * @example
  * const digest = getConfigDigest(accepted.packed);
--- a/src/fleet/index.ts
+++ b/src/fleet/index.ts
@@ -1,5 +1,5 @@
 /**
- * Control of a fleet whose upstreams and gateways register themselves.
+ * Control plane of a fleet whose upstreams and gateways register themselves.
  *
  * @module
  */
