--- a/src/fleet/create_awaited_gateways.ts
+++ b/src/fleet/create_awaited_gateways.ts
@@ -34,7 +34,7 @@
   readonly now: () => number;
   readonly log: Logger;
   /** Ms after the last return, or the start, at which missing gateways are given up. */
-  readonly silenceMs?: number;
+  readonly returnTimeoutMs?: number;
   /** Ms after the start at which they are given up although others still return. */
   readonly maxWaitMs?: number;
 }
@@ -62,7 +62,8 @@
   options: CreateAwaitedGatewaysOptions,
 ): AwaitedGateways {
   const { now, log } = options;
-  const { silenceMs = RETURN_TIMEOUT_MS, maxWaitMs = MAX_WAIT_MS } = options;
+  const { returnTimeoutMs = RETURN_TIMEOUT_MS, maxWaitMs = MAX_WAIT_MS } =
+    options;
   const awaited = new Map<string, GatewayRecord>();
   let expected = 0;
   let startedMs = now();
@@ -91,7 +92,7 @@
     },
     tick() {
       if (awaited.size === 0) return;
-      const isTimedOut = now() - returnedMs >= silenceMs;
+      const isTimedOut = now() - returnedMs >= returnTimeoutMs;
       if (isTimedOut || now() - startedMs >= maxWaitMs) finish();
     },
     hasRecorded: () => expected > 0,
--- a/src/fleet/create_awaited_gateways_test.ts
+++ b/src/fleet/create_awaited_gateways_test.ts
@@ -3,7 +3,7 @@
 import { createAwaitedGateways } from "./create_awaited_gateways.ts";
 import type { GatewayRecord } from "./messages.ts";
 
-const TIMES = { silenceMs: 1_000, maxWaitMs: 5_000 };
+const TIMEOUTS = { returnTimeoutMs: 1_000, maxWaitMs: 5_000 };
 
 function makeGateways(count: number): GatewayRecord[] {
   return Array.from({ length: count }, (_, at) => ({
@@ -17,7 +17,7 @@
 function startAwaiting(count: number) {
   let nowMs = 0;
   const awaited = createAwaitedGateways({
-    ...TIMES,
+    ...TIMEOUTS,
     now: () => nowMs,
     log: () => {},
   });
@@ -33,14 +33,14 @@
 test("missing gateways are given up when none has returned for the time-out", () => {
   const { awaited, advance } = startAwaiting(3);
   awaited.noteReturned("g0");
-  assert.is(advance(TIMES.silenceMs - 1), 2);
+  assert.is(advance(TIMEOUTS.returnTimeoutMs - 1), 2);
   assert.is(advance(1), 0);
 });
 
 test("each gateway that returns restarts the time-out", () => {
   const { awaited, advance } = startAwaiting(4);
   for (const vm of ["g0", "g1", "g2"]) {
-    assert.ok(advance(TIMES.silenceMs - 1) > 0);
+    assert.ok(advance(TIMEOUTS.returnTimeoutMs - 1) > 0);
     awaited.noteReturned(vm);
   }
   assert.equal(awaited.list().map(({ vm }) => vm), ["g3"]);
@@ -50,8 +50,8 @@
 
 test("gateways that return one by one extend the wait only up to its bound", () => {
   const { awaited, advance } = startAwaiting(20);
-  const stepMs = TIMES.silenceMs / 2;
-  for (let at = 0; at * stepMs < TIMES.maxWaitMs; at++) {
+  const stepMs = TIMEOUTS.returnTimeoutMs / 2;
+  for (let at = 0; at * stepMs < TIMEOUTS.maxWaitMs; at++) {
     assert.ok(awaited.list().length > 0);
     awaited.noteReturned(`g${at}`);
     advance(stepMs);
@@ -61,7 +61,7 @@
 
 test("a gateway that was not recorded doesn't restart the time-out", () => {
   const { awaited, advance } = startAwaiting(2);
-  advance(TIMES.silenceMs - 1);
+  advance(TIMEOUTS.returnTimeoutMs - 1);
   awaited.noteReturned("new");
   assert.is(advance(1), 0);
 });
--- a/src/fleet/create_gateway_sessions_test.ts
+++ b/src/fleet/create_gateway_sessions_test.ts
@@ -64,7 +64,7 @@
 
 function makeSessions(
   engines = ENGINES,
-  given: Partial<Parameters<typeof createGatewaySessions>[0]> = {},
+  overrides: Partial<Parameters<typeof createGatewaySessions>[0]> = {},
 ) {
   const history = createConfigHistory({ decodeConfig });
   return createGatewaySessions({
@@ -91,7 +91,7 @@
     now: () => 0,
     log: () => {},
     metrics: createMetrics(),
-    ...given,
+    ...overrides,
   });
 }
 
@@ -103,12 +103,12 @@
   sessions: ReturnType<typeof makeSessions>,
   vm: string,
   version = -1,
-  known: { readonly knowsGateways?: boolean } = {},
+  options: { readonly knowsGateways?: boolean } = {},
 ): Promise<FakeStream> {
   const stream = new FakeStream();
   sessions.handleSession(stream as unknown as SessionStream);
   const gateway = makeGateway(vm);
-  stream.send({ type: "hello", gateway, version, sentMs: 0, ...known });
+  stream.send({ type: "hello", gateway, version, sentMs: 0, ...options });
   await new Promise((resolve) => setImmediate(resolve));
   return stream;
 }
@@ -146,27 +146,27 @@
   assert.equal(update.gateways.map(({ vm }) => vm), ["g1", "g2"]);
   streams[0].end();
   sessions.tick();
-  const [left] = streams[2].takeUpdates();
-  assert.ok(left.type === "gateways");
-  assert.equal(left.gone, ["g1"]);
-  assert.equal(left.gateways, []);
+  const [departure] = streams[2].takeUpdates();
+  assert.ok(departure.type === "gateways");
+  assert.equal(departure.gone, ["g1"]);
+  assert.equal(departure.gateways, []);
 });
 
 test("a gateway that left before it was welcomed doesn't end its newer session", async () => {
-  const lost: unknown[] = [];
+  const events: unknown[] = [];
   const confirmed: (() => void)[] = [];
   const sessions = makeSessions(ENGINES, {
     confirmRead: () => new Promise((resolve) => confirmed.push(resolve)),
-    log: (event) => void lost.push(event),
+    log: (event) => void events.push(event),
   });
-  const left = await join(sessions, "g1");
+  const closed = await join(sessions, "g1");
   const newer = await join(sessions, "g1");
-  left.end();
+  closed.end();
   confirmed.reverse().forEach((confirm) => confirm());
   await until("it is welcomed", () => newer.received.length > 0);
   newer.send({ ...BEAT, isReady: true });
   assert.is(newer.received.at(-1)?.type, "beatAck");
-  assert.equal(lost, ["gatewayJoined"]);
+  assert.equal(events, ["gatewayJoined"]);
 });
 
 test("a new gateway receives the full list, the others only the change", async () => {
@@ -199,9 +199,9 @@
   const sessions = makeSessions(ENGINES, { knowsAllGateways: () => false });
   const recorded = ["g1", "g2"].map((vm) => makeGateway(vm));
   sessions.expectGateways(recorded);
-  const back = await join(sessions, "g1", -1, { knowsGateways: true });
+  const returned = await join(sessions, "g1", -1, { knowsGateways: true });
   const started = await join(sessions, "g3", -1, { knowsGateways: false });
-  assert.equal(back.takeUpdates(), []);
+  assert.equal(returned.takeUpdates(), []);
   const [fullList] = started.takeUpdates();
   assert.ok(fullList.type === "gateways" && fullList.isWhole);
   assert.equal(fullList.gateways.map(({ vm }) => vm), ["g1", "g2", "g3"]);
@@ -263,13 +263,13 @@
   stream.send({ ...BEAT, isReady: true, limits: [report] });
   assert.equal(reported, [report]);
   const request = { type: "grantRequest", counts: { e0: 1 }, askedMs: 5 };
-  const ask = () => {
+  const requestGrants = () => {
     stream.send(request as GatewayMessage);
     return stream.received[stream.received.length - 1];
   };
-  assert.equal(ask(), { type: "grants", grants, askedMs: 5 });
+  assert.equal(requestGrants(), { type: "grants", grants, askedMs: 5 });
   hasLease = false;
-  const denied = ask();
+  const denied = requestGrants();
   assert.ok(denied.type === "grants");
   assert.is(denied.grants[0].count, 0);
   assert.ok(denied.grants[0].retryAfterMs > 0);
