--- a/src/engines/create_beat_clock.ts
+++ b/src/engines/create_beat_clock.ts
@@ -1,35 +1,36 @@
 /**
- * A clock for the silence of upstreams that stands still while none of them is heard.
+ * A clock for heartbeat timeouts that pauses while no upstream's heartbeat arrives.
  *
- * Beats of all upstreams come over few ways: control processes that pass them on, and
- * their connections to the leader. Where nothing comes at all, such a way is cut or
- * late, and silence says nothing of any single upstream.
+ * The heartbeats of all upstreams arrive over few paths: the control processes that
+ * forward them, and their connections to the leader. If no heartbeat arrives at all,
+ * such a path is partitioned or slow, and a missing heartbeat says nothing about any
+ * single upstream.
  *
  * @module
  */
 
-/** A clock that stands still while no upstream is heard. */
+/** A clock that pauses while no heartbeat arrives. */
 export interface BeatClock {
-  /** Ms for which upstreams were heard; it never goes back. */
+  /** Ms for which heartbeats arrived; never decreases. */
   now(): number;
-  /** Takes note of a beat of any upstream. */
+  /** Records a heartbeat of any upstream. */
   noteBeat(): void;
 }
 
 /** Options of {@link createBeatClock}. */
 export interface CreateBeatClockOptions {
-  /** Ms for which upstreams could be heard. */
+  /** Ms for which heartbeats could be received. */
   readonly now: () => number;
-  /** Ms without any beat after which the clock stands still. */
+  /** Ms without any heartbeat after which the clock pauses. */
   readonly quietMs: number;
-  /** Ms after which it goes on all the same: all upstreams may be gone. */
+  /** Ms of pause after which it goes on anyway: all upstreams may have failed. */
   readonly maxStandMs: number;
 }
 
 /**
- * Makes the clock; it goes.
+ * Creates the clock, running.
  *
- * @param options - The clock that it follows, and when it stands still.
+ * @param options - The clock that it follows, and when it pauses.
  * @returns The clock.
  * @throws Nothing.
  * @example
@@ -38,7 +39,7 @@
 export function createBeatClock(options: CreateBeatClockOptions): BeatClock {
   const { now, quietMs, maxStandMs } = options;
   let beatMs = now();
-  // Time for which it has stood still, before the newest beat.
+  // Total duration of the pauses that had ended by the newest heartbeat.
   let stoodMs = 0;
 
   function getStandMs(): number {
--- a/src/engines/create_beat_clock_test.ts
+++ b/src/engines/create_beat_clock_test.ts
@@ -12,7 +12,7 @@
   return { clock, pass: (ms: number) => void (nowMs += ms) };
 }
 
-test("while some are heard it goes", () => {
+test("the clock runs while heartbeats arrive", () => {
   const { clock, pass } = startClock();
   for (let beat = 0; beat < 10; beat++) {
     pass(90);
@@ -21,7 +21,7 @@
   assert.is(clock.now(), 900);
 });
 
-test("while none is heard it stands still, and goes on from there", () => {
+test("the clock pauses while no heartbeat arrives, and resumes from there", () => {
   const { clock, pass } = startClock();
   pass(600);
   assert.is(clock.now(), 100);
@@ -31,7 +31,7 @@
   assert.is(clock.now(), 150);
 });
 
-test("upstreams that are all gone are silent in the end", () => {
+test("the clock goes on after the longest pause, as all upstreams may have failed", () => {
   const { clock, pass } = startClock();
   pass(1_100);
   assert.is(clock.now(), 100);
--- a/src/engines/engines_test.ts
+++ b/src/engines/engines_test.ts
@@ -7,7 +7,7 @@
 
 const EMPTY: RegistryState = { engines: new Map() };
 
-test("a beat registers, the next one only refreshes", () => {
+test("the first heartbeat registers an upstream, the next one only refreshes it", () => {
   const first = takeBeat(EMPTY, makeBeat(), { nowMs: 10 });
   assert.is(first.changed?.engineId, "e1");
   const second = takeBeat(first.state, makeBeat({ sequence: 2 }), {
@@ -17,7 +17,7 @@
   assert.is(second.state.engines.get("e1")?.heardMs, 20);
 });
 
-test("a late beat neither refreshes nor takes a leave back", () => {
+test("a late heartbeat neither refreshes an upstream nor undoes its leave", () => {
   const leaving = makeBeat({ sequence: 5, isLeaving: true });
   const { state } = takeBeat(EMPTY, leaving, { nowMs: 10 });
   const late = takeBeat(state, makeBeat({ sequence: 4 }), { nowMs: 99 });
@@ -26,14 +26,14 @@
   assert.ok(late.state.engines.get("e1")?.record.isLeaving);
 });
 
-test("a recorded leave holds for a registry that never saw it", () => {
+test("a recorded leave holds in a registry that never received it", () => {
   const draining = takeBeat(EMPTY, makeBeat(), { nowMs: 0, leave: "draining" });
   assert.ok(draining.changed?.isLeaving);
   const gone = takeBeat(EMPTY, makeBeat(), { nowMs: 0, leave: "gone" });
   assert.is(gone.state.engines.size, 0);
 });
 
-test("who starts at an address displaces the one that was there", () => {
+test("an upstream that starts at an address displaces its previous holder", () => {
   const { state } = takeBeat(EMPTY, makeBeat({ sequence: 9 }), { nowMs: 0 });
   const next = makeBeat({ engineId: "e2", sequence: 1 });
   const taken = takeBeat(state, next, { nowMs: 100 });
@@ -41,10 +41,10 @@
   assert.equal([...taken.state.engines.keys()], ["e2"]);
 });
 
-test("late beats of a dead sender don't take its address back", () => {
+test("late heartbeats of a terminated upstream don't take its address back", () => {
   const next = makeBeat({ engineId: "e2", sequence: 1 });
   let { state } = takeBeat(EMPTY, next, { nowMs: 0 });
-  // Held up by a cut, they arrive together.
+  // Delayed by a partition, they arrive together.
   for (const [sequence, nowMs] of [[8, 50], [9, 60], [10, 70]]) {
     const late = takeBeat(state, makeBeat({ sequence }), { nowMs });
     assert.is(late.changed, undefined);
@@ -56,7 +56,7 @@
   assert.equal([...last.state.engines.keys()], ["e2"]);
 });
 
-test("one whose first beat was lost gets its address once the other is silent", () => {
+test("an upstream whose first heartbeat was lost gets its address once the holder is silent", () => {
   let { state } = takeBeat(EMPTY, makeBeat({ sequence: 9 }), { nowMs: 0 });
   const second = makeBeat({ engineId: "e2", sequence: 2 });
   state = takeBeat(state, second, { nowMs: 300 }).state;
@@ -66,7 +66,7 @@
   assert.equal(taken.displacedIds, ["e1"]);
 });
 
-test("the silent are dropped, the others stay", () => {
+test("only unresponsive upstreams are removed", () => {
   const one = takeBeat(EMPTY, makeBeat(), { nowMs: 0 });
   const other = makeBeat({ engineId: "e2", address: "10.0.0.2:80" });
   const two = takeBeat(one.state, other, { nowMs: 500 });
--- a/src/engines/newest_runs.ts
+++ b/src/engines/newest_runs.ts
@@ -1,6 +1,6 @@
 /**
- * Which run of each upstream is the newest: what an earlier one said may arrive
- * later, and then says nothing about the upstream as it is.
+ * Tracks the newest incarnation of each upstream: a late message of an earlier
+ * incarnation says nothing about the upstream's present state.
  *
  * @module
  */
@@ -8,16 +8,16 @@
 import { forgetOldest } from "../collections/index.ts";
 import type { EngineRecord, NewestRuns } from "./types.ts";
 
-/** A run as far as runs are ordered by it. */
+/** The fields of an incarnation that identify and order it. */
 type Run = Pick<EngineRecord, "engineId" | "name" | "startedMs">;
 
-/** Upstreams whose newest run is remembered; the longest known go first. */
+/** Upstreams whose newest incarnation is kept; the oldest entries are evicted first. */
 const MAX_RUNS = 5_000;
 
 /**
- * Gets the name of an upstream, whichever run of it.
+ * Gets the name of an upstream, which is the same for all its incarnations.
  *
- * @param run - One of its runs.
+ * @param run - One of its incarnations.
  * @returns The name.
  * @throws Nothing.
  * @example
@@ -30,12 +30,12 @@
 }
 
 /**
- * Tells whether a run is not the newest of its upstream. One that doesn't tell when
- * it started can't be ordered: where others tell it, it counts as earlier.
+ * Checks whether an incarnation is older than the newest one of its upstream. One
+ * without a start time can't be ordered: it counts as older if any start time is known.
  *
- * @param run - The run.
- * @param newestRuns - The newest runs.
- * @returns Whether it is an earlier one.
+ * @param run - The incarnation.
+ * @param newestRuns - The newest incarnations.
+ * @returns Whether it is an older one.
  * @throws Nothing.
  * @example
  * if (isOfEarlierRun(beat, state.newestRuns)) return;
@@ -51,11 +51,11 @@
 }
 
 /**
- * Notes a run, if it is the newest of its upstream.
+ * Records an incarnation if it is the newest of its upstream.
  *
- * @param newestRuns - The newest runs.
- * @param run - The run.
- * @returns The newest runs with it.
+ * @param newestRuns - The newest incarnations.
+ * @param run - The incarnation.
+ * @returns The newest incarnations, updated.
  * @throws Nothing.
  * @example
  * const next = noteRun(newestRuns, record);
--- a/src/engines/remove_silent.ts
+++ b/src/engines/remove_silent.ts
@@ -1,24 +1,24 @@
 /**
- * Drops upstreams whose heartbeats stopped.
+ * Removes upstreams from the registry, among them those whose heartbeats stopped.
  *
  * @module
  */
 
 import type { RegistryState } from "./types.ts";
 
-/** When an upstream counts as lost. */
+/** Options of {@link removeSilent}. */
 export interface RemoveSilentOptions {
   /** Monotonic time, in ms. */
   readonly nowMs: number;
-  /** Silence, in ms, that is too long. */
+  /** Ms without a heartbeat after which an upstream counts as failed. */
   readonly silenceMs: number;
 }
 
 /**
- * Drops the upstreams that were silent for too long.
+ * Removes the upstreams that have sent no heartbeat for too long.
  *
  * @param state - The registry.
- * @param options - The time and the silence.
+ * @param options - The time and the timeout.
  * @returns The registry without them, and their ids.
  * @throws Nothing.
  * @example
@@ -37,10 +37,10 @@
 }
 
 /**
- * Drops upstreams by id.
+ * Removes upstreams by id.
  *
  * @param state - The registry.
- * @param ids - The upstreams to drop.
+ * @param ids - The upstreams to remove.
  * @returns The registry without them.
  * @throws Nothing.
  * @example
--- a/src/engines/take_beat.ts
+++ b/src/engines/take_beat.ts
@@ -1,5 +1,5 @@
 /**
- * Takes a heartbeat into the registry.
+ * Applies heartbeats to the registry.
  *
  * @module
  */
@@ -13,38 +13,38 @@
   RegistryState,
 } from "./types.ts";
 
-/** What a beat is judged by. */
+/** Options of {@link takeBeat}. */
 export interface TakeBeatOptions {
   /** Monotonic time, in ms. */
   readonly nowMs: number;
-  /** What is recorded of this upstream's leaving, if anything. */
+  /** The recorded leave of this upstream, if any. */
   readonly leave?: LeaveKind;
 }
 
-/** The registry after a beat. */
+/** The registry after a heartbeat. */
 export interface TakenBeat {
   readonly state: RegistryState;
-  /** What gateways have to be told; undefined where nothing changed. */
+  /** The record to publish to gateways; undefined if nothing changed. */
   readonly changed: EngineRecord | undefined;
-  /** Runs that the one that beats takes the place of. */
+  /** Incarnations that the sender replaces. */
   readonly displacedIds: readonly string[];
 }
 
-/** Sequence number of an upstream's first beat. */
+/** Sequence number of an upstream's first heartbeat. */
 const FIRST_SEQUENCE = 1;
 
-/** Ms after which a claim is forgotten: several intervals between beats. */
+/** Ms after which a claim expires: several heartbeat intervals. */
 const CLAIM_AGE_MS = 10_000;
 
 /**
- * Ms between two beats that show that their sender lives: beats that a cut held
- * up arrive together. Half of the shortest usual interval between beats.
+ * Ms between two heartbeats that prove that their sender is alive: heartbeats delayed by
+ * a partition arrive together. Half of the shortest usual heartbeat interval.
  */
 const LEAST_BEAT_GAP_MS = 500;
 
 /**
- * Takes a heartbeat; a late one changes nothing, and a recorded leave holds
- * whatever the beat says.
+ * Applies a heartbeat. A late one changes nothing, and a recorded leave holds whatever
+ * the heartbeat reports.
  *
  * @param state - The registry.
  * @param beat - The heartbeat.
@@ -95,7 +95,7 @@
   };
 }
 
-// Looked up, not searched for: each of 600 engines beats every 1.2 s.
+// A lookup instead of a search: each of 600 engines sends a heartbeat every 1.2 s.
 function listEarlierRuns(
   { engines, newestRuns }: RegistryState,
   beat: EngineBeat,
@@ -114,9 +114,9 @@
     .find(({ record }) => record.address === address);
 }
 
-// An address belongs to one upstream. Who starts there is the new one; any other
-// beat may be a late one of a sender that is dead, so it takes a second one, and
-// silence of the present holder in between.
+// An address belongs to one upstream. A first heartbeat shows that its sender has just
+// started there. Any other may be a late one of a terminated sender, so it needs a
+// second heartbeat, and none of the present holder in between.
 function winsAddress(
   state: RegistryState,
   { engineId, sequence }: EngineBeat,
@@ -143,11 +143,11 @@
 }
 
 /**
- * Compares what two records say.
+ * Checks whether two records are equal.
  *
- * @param a - A record.
- * @param b - Another one.
- * @returns Whether they say the same.
+ * @param a - One record.
+ * @param b - The other.
+ * @returns Whether they are equal.
  * @throws Nothing.
  * @example
  * isSameRecord(known, record);
--- a/src/engines/types.ts
+++ b/src/engines/types.ts
@@ -1,100 +1,100 @@
 /**
- * Upstreams that register themselves, as the fleet knows them.
+ * Types of upstreams that register themselves, and of their registry.
  *
  * @module
  */
 
-/** A range of a model's layers; `toLayer` is the first one after it. */
+/** A range of a model's layers; `toLayer` is exclusive. */
 export interface LayerRange {
   readonly fromLayer: number;
   readonly toLayer: number;
 }
 
-/** One heartbeat of an upstream, decoded. */
+/** A decoded heartbeat of an upstream. */
 export interface EngineBeat {
-  /** Names this run of the upstream; a restart gets another. */
+  /** Identifies this incarnation of the upstream; each restart gets a new one. */
   readonly engineId: string;
-  /** Names the upstream, whichever run of it; absent where its id does. */
+  /** Identifies the upstream across restarts; absent if its id does. */
   readonly name?: string;
   /**
-   * When this run started, in Unix ms of the upstream's own clock: it orders the
-   * runs of one upstream and means nothing besides. Absent where none tells it.
+   * Start time of this incarnation, in Unix ms of the upstream's own clock. Used only to
+   * order the incarnations of one upstream. Absent if it is not reported.
    */
   readonly startedMs?: number;
   readonly service: string;
-  /** Host and port where it takes requests. */
+  /** Host and port where it accepts requests. */
   readonly address: string;
   readonly place: string;
-  /** Requests that it works on at a time. */
+  /** Number of requests that it processes concurrently. */
   readonly slots: number;
   readonly isLeaving: boolean;
-  /** Rises with every beat, so that a late one is told apart. */
+  /** Increases with every heartbeat, so that a late one is recognised. */
   readonly sequence: number;
-  /** Names of the models that it serves; undefined where it tells none. */
+  /** Names of the models that it serves; undefined if it reports none. */
   readonly models?: readonly string[];
-  /** Layers that it holds; absent where it holds none or tells none. */
+  /** Layers that it holds; absent if it holds or reports none. */
   readonly layers?: LayerRange;
-  /** Kind of its accelerator card, where it tells one. */
+  /** Kind of its accelerator card, if it reports one. */
   readonly card?: string;
 }
 
-/** What gateways are told of an upstream. */
+/** An upstream as the leader publishes it to gateways. */
 export interface EngineRecord extends Omit<EngineBeat, "sequence"> {
-  /** How many times as long as usual it works; absent where it is not slow. */
+  /** Factor by which it is slower than usual; absent if it is not slow. */
   readonly slowness?: number;
 }
 
-/** An upstream that leaves: it still answers, or it is gone. */
+/** State of a leaving upstream: still serving its requests, or departed. */
 export type LeaveKind = "draining" | "gone";
 
 /** An upstream in the leader's registry. */
 export interface RegisteredEngine {
   readonly record: EngineRecord;
   readonly sequence: number;
-  /** Leader's time, in ms, of the newest beat. */
+  /** Leader's time, in ms, of the newest heartbeat. */
   readonly heardMs: number;
 }
 
-/** A beat of an upstream at an address that another one has. */
+/** A heartbeat from an address that is registered to another upstream. */
 export interface AddressClaim {
   readonly sequence: number;
-  /** Leader's time, in ms, when it came. */
+  /** Leader's time, in ms, when it was received. */
   readonly heardMs: number;
 }
 
-/** The leader's registry; plain and immutable but for its maps' owner. */
+/** The leader's registry, as an immutable value. */
 export interface RegistryState {
   readonly engines: ReadonlyMap<string, RegisteredEngine>;
-  /** Claims to addresses that are taken, by the upstream that made them. */
+  /** Claims to addresses that are in use, by the claiming upstream. */
   readonly claims?: ReadonlyMap<string, AddressClaim>;
-  /** Newest runs, by the upstream's name, also of those that are gone. */
+  /** Newest incarnations by the upstream's name, including departed ones. */
   readonly newestRuns?: NewestRuns;
 }
 
-/** The newest run of an upstream. */
+/** The newest incarnation of an upstream. */
 export interface NewestRun {
   readonly engineId: string;
-  /** When it started, by its own clock, in Unix ms. */
+  /** Start time, in Unix ms of its own clock. */
   readonly startedMs: number;
 }
 
-/** The newest runs by the upstream's name. */
+/** The newest incarnations by the upstream's name. */
 export type NewestRuns = ReadonlyMap<string, NewestRun>;
 
-/** What an upstream says of itself in an answer, whatever it answers. */
+/** What an upstream reports about itself with a response of any kind. */
 export interface EngineNotice {
-  /** Ms for which it wants nothing of who asked; absent where it asks for none. */
+  /** Ms for which the caller should back off; absent if it requests none. */
   readonly backOffMs?: number;
-  /** Whether it says that it leaves. */
+  /** Whether it reports that it is leaving. */
   readonly isLeaving: boolean;
   /**
-   * Requests a second that it takes from all gateways together: Infinity where it
-   * names no limit, absent where what it names can't be read.
+   * Requests per second that it accepts from all gateways together: Infinity if it
+   * names no limit, absent if the limit can't be parsed.
    */
   readonly limitPerS?: number;
 }
 
-/** How long a call to an upstream takes, and who hears what it says of itself. */
+/** Options of a call to an upstream: its deadline, and a callback for the notice. */
 export interface EngineCallOptions {
   readonly timeoutMs: number;
   readonly onNotice?: (notice: EngineNotice) => void;
--- a/src/fleet/create_leader_caller.ts
+++ b/src/fleet/create_leader_caller.ts
@@ -1,5 +1,5 @@
 /**
- * Passes calls on to the control process that leads.
+ * Forwards calls to the control process that is the leader.
  *
  * @module
  */
@@ -12,26 +12,26 @@
 } from "../wire/index.ts";
 import type { FleetCall, FleetReply } from "./messages.ts";
 
-/** Calls the leader. */
+/** Forwards calls to the leader. */
 export interface LeaderCaller extends AsyncDisposable {
   call(address: string, call: FleetCall): Promise<FleetReply>;
 }
 
 /** Options of {@link createLeaderCaller}. */
 export interface CreateLeaderCallerOptions {
-  /** Ms for an answer; callers ask another process after a second. */
+  /** Deadline of a call, in ms; callers try another process after 1 s. */
   readonly timeoutMs?: number;
 }
 
-/** Below the second after which an upstream or operator asks elsewhere. */
+/** Less than the 1 s after which an upstream or operator tries another process. */
 const CALL_TIMEOUT_MS = 900;
 
 /**
- * Makes a caller; it keeps the connection to the newest leader only.
+ * Creates a client; it keeps a connection to the most recent leader only.
  *
- * @param options - The time limit.
- * @returns The caller; disposing of it closes its connection.
- * @throws Nothing; a call that fails is answered as unavailable.
+ * @param options - The call timeout.
+ * @returns The client; disposing of it closes its connection.
+ * @throws Nothing; a failed call resolves to an "unavailable" reply.
  * @example
  * const reply = await caller.call("10.0.0.4:7340", { type: "readConfig" });
  */
--- a/src/fleet/create_leader_desk.ts
+++ b/src/fleet/create_leader_desk.ts
@@ -1,5 +1,5 @@
 /**
- * Answers the calls that only the leader can answer.
+ * Handles the calls that only the leader can answer.
  *
  * @module
  */
@@ -18,7 +18,7 @@
 import type { FleetCall, FleetReply } from "./messages.ts";
 import { unpackDocument } from "./pack_document.ts";
 
-/** What the desk needs of its program. */
+/** Dependencies of {@link createLeaderDesk}. */
 export interface CreateLeaderDeskOptions {
   readonly machine: FleetMachine;
   readonly registry: EngineRegistry;
@@ -26,20 +26,20 @@
   /** Resolves once the command is committed and applied. */
   readonly propose: (command: FleetCommand) => Promise<unknown>;
   readonly confirmRead: () => Promise<void>;
-  /** Whether it surely leads at this moment. */
+  /** Whether this process holds the leader lease. */
   readonly hasLease: () => boolean;
-  /** Whether what is accepted now outlives the losses that are to be borne. */
+  /** Whether there are enough voters for a commit to survive the tolerated failures. */
   readonly hasEnoughVoters: () => boolean;
   readonly history: Pick<ConfigHistory, "read">;
   readonly log: Logger;
 }
 
-/** Answers calls as the leader. */
+/** Handles calls on the leader. */
 export interface LeaderDesk {
   take(call: FleetCall): Promise<FleetReply>;
   /**
-   * Records the leaves of upstreams that said in answers that they leave. Never
-   * rejects: gateways tell of them until they are recorded.
+   * Records that upstreams are leaving, as they announced in responses. Never
+   * rejects: gateways report a leave until it is recorded.
    */
   noteLeaves(engineIds: readonly string[]): Promise<void>;
 }
@@ -47,17 +47,17 @@
 const DONE: FleetReply = { type: "done" };
 
 /**
- * Makes the desk.
+ * Creates the handler.
  *
- * @param options - The state, the registry, how commands are proposed.
- * @returns The desk.
- * @throws Nothing; what fails is answered as unavailable.
+ * @param options - The state machine, the registry, how commands are proposed.
+ * @returns The handler.
+ * @throws Nothing; a failed call resolves to an "unavailable" reply.
  * @example
  * const reply = await desk.take({ type: "readConfig" });
  */
 export function createLeaderDesk(options: CreateLeaderDeskOptions): LeaderDesk {
   const { machine, registry, propose, log } = options;
-  // Leaves that are being recorded: many gateways tell of one.
+  // Leaves being recorded: many gateways report the same one.
   const proposed = new Set<string>();
 
   async function takeConfig(
@@ -87,8 +87,8 @@
     return { type: "document", document };
   }
 
-  // A leader whose disk stands still does not see that another one leads, and
-  // beats that it took would be missing there.
+  // A leader whose disk is stalled does not notice that another one has been elected,
+  // and heartbeats that it accepted would be missing there.
   async function takeBeat(beat: EngineBeat): Promise<FleetReply> {
     if (!options.hasLease()) return { type: "unavailable", reason: "no lease" };
     const { engineId } = beat;
@@ -104,7 +104,8 @@
     return DONE;
   }
 
-  // A leave that came before any beat is of the run that is heard of first.
+  // A leave recorded before any heartbeat, under the upstream's name, applies to the
+  // first incarnation that sends one.
   async function bindLeave(
     beat: EngineBeat,
     kind: LeaveKind,
@@ -115,7 +116,7 @@
     log("engineLeaves", { engineId, kind });
   }
 
-  // Who leaves names itself, not its run: the newest one is meant.
+  // A leave names the upstream, not the incarnation: the newest one is meant.
   async function takeLeave(name: string): Promise<FleetReply> {
     const engineId = registry.findRunId(name) ?? name;
     if (machine.getLeave(engineId) !== "gone") {
@@ -132,7 +133,7 @@
     log("engineLeaves", { engineId, kind });
   }
 
-  // Only of runs that are there: what gateways tell may be of an earlier one.
+  // Only for registered incarnations: a gateway's report may be about an earlier one.
   function isLeaveNews(engineId: string): boolean {
     return registry.hasRun(engineId) && !proposed.has(engineId) &&
       machine.getLeave(engineId) === undefined;
--- a/src/fleet/create_leader_desk_test.ts
+++ b/src/fleet/create_leader_desk_test.ts
@@ -40,7 +40,7 @@
   return { desk, registry, machine, proposed };
 }
 
-test("a leader that can't be sure to lead takes no beats", async () => {
+test("a leader without a lease rejects heartbeats", async () => {
   let hasLease = false;
   const { desk, registry } = makeDesk(() => hasLease);
   const call = { type: "beat", beat: makeBeat() } as const;
@@ -51,7 +51,7 @@
   assert.is(registry.getRecords().length, 1);
 });
 
-test("a leave that gateways heard of is recorded once, of a run that is there", async () => {
+test("a leave reported by gateways is recorded once, for a registered incarnation only", async () => {
   const { desk, registry, machine, proposed } = makeDesk(() => true);
   const beat = makeBeat();
   const { engineId } = beat;
@@ -62,7 +62,7 @@
   await desk.noteLeaves([engineId, "unknown"]);
   assert.equal(proposed, [{ type: "leave", engineId, kind: "draining" }]);
   assert.is(machine.getLeave(engineId), "draining");
-  // A later heartbeat that says otherwise changes nothing.
+  // A later heartbeat without the leaving flag does not undo the leave.
   await desk.take({
     type: "beat",
     beat: { ...beat, sequence: beat.sequence + 1, isLeaving: false },
--- a/src/fleet/create_leader_rounds.ts
+++ b/src/fleet/create_leader_rounds.ts
@@ -1,6 +1,5 @@
 /**
- * What a leader does again and again: it looks at sessions, engines, layers and
- * members.
+ * The leader's periodic work: sessions, engines, layer placement and quorum members.
  *
  * @module
  */
@@ -15,15 +14,15 @@
 import type { QuarantineDesk } from "./create_quarantine_desk.ts";
 import type { Recorder } from "./create_recorder.ts";
 
-/** What the rounds look after. */
+/** Dependencies of {@link createLeaderRounds}. */
 export interface CreateLeaderRoundsOptions {
-  /** Whether this process surely leads at this moment. */
+  /** Whether this process leads, holds the lease and has loaded the recorded state. */
   readonly isLeading: () => boolean;
-  /** Counts the time for which this leader takes what others send. */
+  /** Counts the time for which this leader accepts messages. */
   readonly listening: Pick<ListeningClock, "look">;
-  /** Whether it has done so for so many ms since it leads. */
+  /** Whether it has accepted messages for this many ms since it was elected. */
   readonly listensFor: (spanMs: number) => boolean;
-  /** Whether the fleet is new: nobody can hold anything yet. */
+  /** Whether the fleet is being formed, so that no engine can hold layers yet. */
   readonly isFirstStart: boolean;
   readonly sessions: Pick<
     GatewaySessions,
@@ -38,25 +37,25 @@
   readonly log: Logger;
 }
 
-/** The rounds of a leader. */
+/** The leader's periodic work. */
 export interface LeaderRounds {
-  /** Makes a round, if this process leads. */
+  /** Runs one round, if this process leads. */
   tick(): void;
-  /** Forgets what an earlier time of leading has told. */
+  /** Resets the state of an earlier leadership: the full engine list is sent again. */
   reset(): void;
 }
 
-/** Rounds between two pieces of news of what gateways have in flight. */
+/** Rounds between two publications of the load that gateways have in flight. */
 const LOADS_ROUNDS = 2;
 
-/** Ms of silence after which a voter may be replaced. */
+/** Ms without a response after which a voter may be replaced. */
 export const VOTER_SILENCE_MS = 2_500;
 
 /**
- * Makes the rounds.
+ * Creates the loop; the caller runs it on a timer.
  *
- * @param options - What they look after.
- * @returns The rounds.
+ * @param options - The components that it drives.
+ * @returns The loop.
  * @throws Nothing.
  * @example
  * setInterval(createLeaderRounds(options).tick, 250);
@@ -80,7 +79,8 @@
     for (const recorder of options.recorders) void recorder.run();
   }
 
-  // Before anyone holds layers there is nothing that a late beat could tell.
+  // A new fleet needn't wait until all engines have registered: while none holds
+  // layers, a late heartbeat can't change the placement.
   function keepLayersOfNewFleet(): void {
     const records = registry.getRecords();
     const isNew = options.isFirstStart &&
--- a/src/fleet/create_leader_rounds_test.ts
+++ b/src/fleet/create_leader_rounds_test.ts
@@ -3,7 +3,7 @@
 import { createListeningClock, type ListeningClock } from "../clocks/index.ts";
 import { createLeaderRounds } from "./create_leader_rounds.ts";
 
-/** Ms of silence after which an upstream is lost. */
+/** Ms without a heartbeat after which an upstream counts as failed. */
 const SILENCE_MS = 3_000;
 
 /** Ms between two rounds. */
@@ -47,7 +47,7 @@
   return { rounds, calls, state };
 }
 
-test("a new leader drops no engine and gives no order before it has heard all", () => {
+test("a new leader removes no engine and sends no layer order before it knows all engines", () => {
   const { rounds, calls, state } = startRounds({ isFirstStart: false });
   rounds.tick();
   assert.equal(calls.splice(0), ["sessions", "paces", "recorder"]);
@@ -58,7 +58,7 @@
   }
 });
 
-test("a new fleet's layers are spread at once, engines are told in full once", async () => {
+test("a new fleet's layers are placed at once, and the full engine list is published once", async () => {
   const { rounds, calls, state } = startRounds({ isFirstStart: true });
   rounds.tick();
   assert.ok(calls.includes("layers"));
@@ -72,15 +72,16 @@
   assert.is(calls.filter((name) => name === "all engines").length, 2);
 });
 
-test("who doesn't lead does nothing", () => {
+test("a process that does not lead does nothing", () => {
   const { rounds, calls, state } = startRounds({ isFirstStart: true });
   state.isLeading = false;
   rounds.tick();
   assert.equal(calls, []);
 });
 
-// Beats are refused for want of a lease: all engines would be lost with its return.
-test("the time for which a leader has no lease is no silence of others", () => {
+// Heartbeats are rejected without a lease. If that time counted as silence, all engines
+// would be removed as soon as the lease is back.
+test("time without a lease does not count as silence of engines", () => {
   let nowMs = 0;
   const listening = createListeningClock({
     now: () => nowMs,
@@ -98,7 +99,7 @@
   makeRounds(20);
   state.isLeading = true;
   makeRounds(4);
-  // The first round after a change still counts as the state before it.
+  // The first round after a change still counts by the state before it.
   assert.is(listening.now(), 8 * ROUND_MS);
 });
 
--- a/src/fleet/create_limit_desk.ts
+++ b/src/fleet/create_limit_desk.ts
@@ -1,10 +1,10 @@
 /**
- * The leader's part of the rate limits that upstreams name: which are in force, and
- * who may send when.
+ * The leader's part of rate limiting: which limits of upstreams are in force, and when
+ * gateways may send.
  *
- * A limit holds for all gateways together, and one gateway knows nothing of what the
- * others send. Shares of a limit are either too small for whoever is asked for more,
- * or add up to a burst; so each send is granted by one bucket for each upstream.
+ * A limit holds for all gateways together, and a gateway doesn't know what the others
+ * send. Fixed shares of a limit are either too small for a gateway with more traffic
+ * or add up to a burst; so each send is granted from one token bucket per upstream.
  *
  * @module
  */
@@ -19,25 +19,25 @@
   ToldLimit,
 } from "./messages.ts";
 
-/** The rate limits in force, and the grants of sends. */
+/** Tracks the rate limits in force and grants sends. */
 export interface LimitDesk {
-  /** Takes a limit that was read in an upstream's answer. */
+  /** Handles a limit that a gateway read in an upstream's response. */
   take(report: LimitReport): void;
-  /** Grants as many of the sends that are asked for as the limits allow now. */
+  /** Grants as many of the requested sends as the limits allow now. */
   grant(counts: GrantCounts): SendGrants;
   /** All limits in force. */
   list(): readonly ToldLimit[];
-  /** Forgets all limits: gateways tell a new leader what they know. */
+  /** Removes all limits: gateways report the limits that they know to a new leader. */
   reset(): void;
 }
 
-/** What the desk needs of its program. */
+/** Dependencies of {@link createLimitDesk}. */
 export interface CreateLimitDeskOptions {
   /** Called with each limit that comes into force, changes or ends. */
   readonly publish: (limit: ToldLimit) => void;
   /**
-   * Version of the first limit. No other leader may use it for another limit of the
-   * same upstream.
+   * Version of the first limit. No other leader may use the same version for another
+   * limit of the same upstream.
    */
   readonly firstVersion: number;
   /** Monotonic time, in ms. */
@@ -46,15 +46,15 @@
 }
 
 /**
- * Requests a second that are granted whatever the limit: an upstream that takes none
- * is asked now and then, as only an answer tells the end of its limit.
+ * Requests per second that are granted even below the limit: an upstream whose limit
+ * is 0 still gets a probe now and then, as only a response shows that the limit ended.
  */
 export const PROBE_RATE_PER_S = 0.1;
 
-/** Seconds of a limit that may be spent in one moment. */
+/** Burst size of a bucket, in seconds of its rate. */
 const BURST_S = 0.4;
 
-/** Limits that are kept; the oldest are forgotten first. */
+/** Limits that are kept; the oldest are evicted first. */
 const MAX_LIMITS = 5_000;
 
 interface Limit extends ToldLimit {
@@ -63,10 +63,10 @@
 }
 
 /**
- * Makes the desk; nothing is limited at first.
+ * Creates the coordinator, without limits.
  *
- * @param options - Who is told, the time and logs.
- * @returns The desk.
+ * @param options - Where limits are published, the clock and the log.
+ * @returns The coordinator.
  * @throws Nothing.
  * @example
  * const desk = createLimitDesk({ publish, firstVersion: Date.now(), now, log });
@@ -78,7 +78,7 @@
 
   function put(engineId: string, limitPerS: number): ToldLimit {
     const version = nextVersion++;
-    // It begins empty: what was sent before is not known.
+    // The bucket starts empty: what was sent before is unknown.
     const bucket = limits.get(engineId)?.bucket ??
       { tokens: 0, updatedMs: now() };
     limits.delete(engineId);
@@ -114,8 +114,8 @@
       const limitPerS = reported ?? Infinity;
       const knownPerS = known?.limitPerS ?? Infinity;
       if (limitPerS === knownPerS) return;
-      // A limit ends or grows only by an answer to a request that was sent by
-      // someone who knew it: any other answer may be older than the limit.
+      // A limit is lifted or raised only by the response to a request whose sender
+      // knew the limit: any other response may be older than the limit.
       if (limitPerS > knownPerS && knownVersion !== known?.version) return;
       const told = reported === null ? lift(engineId) : put(engineId, reported);
       log("limitInForce", { ...told });
--- a/src/fleet/create_limit_desk_test.ts
+++ b/src/fleet/create_limit_desk_test.ts
@@ -19,7 +19,7 @@
   return { clock, published, desk, grant };
 }
 
-test("a limit is told once, with a version of its own", () => {
+test("each limit is published once, with its own version", () => {
   const { published, desk } = makeDesk();
   desk.take({ engineId: "a", limitPerS: 4.6 });
   desk.take({ engineId: "a", limitPerS: 4.6 });
@@ -31,7 +31,7 @@
   assert.equal(desk.list(), [published[1]]);
 });
 
-test("only an answer to a request of someone who knew the limit ends it or lets it grow", () => {
+test("a limit is lifted or raised only by a response to a request whose sender knew it", () => {
   for (const limitPerS of [null, 9]) {
     const { published, desk } = makeDesk();
     desk.take({ engineId: "a", limitPerS: 4 });
@@ -41,23 +41,23 @@
     assert.is(published.length, 2);
     desk.take({ engineId: "a", limitPerS, knownVersion: 101 });
     assert.is(published[2].limitPerS, limitPerS);
-    // The same news of a second gateway is none.
+    // The same report from a second gateway changes nothing.
     desk.take({ engineId: "a", limitPerS, knownVersion: 101 });
     assert.is(published.length, 3);
   }
 });
 
-test("an upstream that is named again after its limit's end is limited anew", () => {
+test("an upstream reported again after its limit was lifted is limited again", () => {
   const { desk, published } = makeDesk();
   desk.take({ engineId: "a", limitPerS: 4 });
   desk.take({ engineId: "a", limitPerS: null, knownVersion: 100 });
   desk.take({ engineId: "a", limitPerS: 4 });
-  // An answer from before the second limit.
+  // A response to a request that was sent before the second limit.
   desk.take({ engineId: "a", limitPerS: null, knownVersion: 100 });
   assert.equal(published.map(({ limitPerS }) => limitPerS), [4, null, 4]);
 });
 
-test("nothing is in hand when a limit comes into force", () => {
+test("the bucket is empty when a limit comes into force", () => {
   const { clock, desk, grant } = makeDesk();
   desk.take({ engineId: "a", limitPerS: 4 });
   assert.equal(grant(), { engineId: "a", count: 0, retryAfterMs: 250 });
@@ -66,7 +66,7 @@
   assert.is(grant(3, "unlimited").count, 3);
 });
 
-test("a limit that changes doesn't fill what was spent", () => {
+test("a changed limit does not refill the bucket", () => {
   const { clock, desk, grant } = makeDesk();
   desk.take({ engineId: "a", limitPerS: 4 });
   clock.ms = 250;
@@ -76,7 +76,7 @@
   assert.is(grant(50).count, 0);
 });
 
-test("whatever is asked for, four seconds bring what the limit allows", () => {
+test("whatever is requested, no window of four seconds exceeds the limit", () => {
   for (const limitPerS of [0.2, 0.5, 4.6, 50]) {
     const { clock, desk, grant } = makeDesk();
     const random = createRandomSource(7);
@@ -93,7 +93,7 @@
   }
 });
 
-test("an upstream that takes nothing is asked now and then", () => {
+test("an upstream with a limit of 0 is probed now and then", () => {
   const { clock, desk, grant } = makeDesk();
   desk.take({ engineId: "a", limitPerS: 0 });
   const probeMs = 1_000 / PROBE_RATE_PER_S;
@@ -104,7 +104,7 @@
   assert.is(grant().count, 0);
 });
 
-test("a new leader knows no limits until it is told", () => {
+test("a new leader knows no limits until gateways report them", () => {
   const { desk, grant } = makeDesk();
   desk.take({ engineId: "a", limitPerS: 4 });
   desk.reset();
--- a/src/fleet/create_loss_reports.ts
+++ b/src/fleet/create_loss_reports.ts
@@ -1,6 +1,6 @@
 /**
- * What gateways found lost by their questions, so that the others of a data
- * centre needn't ask.
+ * Collects the engine failures that gateways found by probing, so that the other
+ * gateways of the same data centre needn't probe.
  *
  * @module
  */
@@ -9,30 +9,30 @@
 export interface LossReport {
   readonly vm: string;
   readonly place: string;
-  /** Engines that did not answer it while its streams over them stood still. */
+  /** Engines that did not answer its probes while its streams over them were stalled. */
   readonly engineIds: readonly string[];
 }
 
-/** Gathers the reports. */
+/** Collects failure reports. */
 export interface LossReports {
-  /** Takes a report; gives the engines that the place is to be told of now. */
+  /** Adds a report; returns the failed engines to publish in that data centre now. */
   take(report: LossReport): readonly string[];
 }
 
 /**
- * Gateways of one data centre that have to find an engine lost before the others
- * there are told: one alone may be cut off itself.
+ * Gateways of one data centre that have to report an engine as failed before the
+ * others there are notified: a single one may itself be partitioned.
  */
 const REPORTERS = 2;
 
-/** Ms for which a report counts, and for which nothing is told again. */
+/** Ms for which a report counts, and for which a notification isn't repeated. */
 const REPORT_MS = 2_000;
 
 /**
- * Makes the reports, empty.
+ * Creates the collector, without reports.
  *
  * @param options - Monotonic time, in ms.
- * @returns The reports.
+ * @returns The collector.
  * @throws Nothing.
  * @example
  * const lost = reports.take({ vm, place, engineIds });
--- a/src/fleet/create_loss_reports_test.ts
+++ b/src/fleet/create_loss_reports_test.ts
@@ -10,7 +10,7 @@
   return { clock, report };
 }
 
-test("two gateways of a data centre are believed, one or two of two are not", () => {
+test("a failure is confirmed by two gateways of one data centre, not by one or across two", () => {
   const { report } = startReports();
   assert.equal(report("g1", "a", ["e"]), []);
   assert.equal(report("g1", "a", ["e"]), []);
@@ -18,7 +18,7 @@
   assert.equal(report("g3", "a", ["e", "other"]), ["e"]);
 });
 
-test("what was told is not told again until it is old", () => {
+test("a confirmed failure is not repeated until its reports expire", () => {
   const { clock, report } = startReports();
   report("g1", "a", ["e"]);
   assert.equal(report("g2", "a", ["e"]), ["e"]);
--- a/src/fleet/create_member_keeper.ts
+++ b/src/fleet/create_member_keeper.ts
@@ -8,39 +8,39 @@
 import type { Logger } from "../logs/index.ts";
 import { planVoterChange } from "../quorum/index.ts";
 
-/** What the keeper needs of its program. */
+/** Dependencies of {@link createMemberKeeper}. */
 export interface CreateMemberKeeperOptions {
   readonly replica: Replica;
-  /** Voters that losses leave enough of. */
+  /** Number of voters that tolerates the expected failures. */
   readonly voters: number;
-  /** Ms of silence after which a voter may be replaced. */
+  /** Ms without a response after which a voter may be replaced. */
   readonly silenceMs: number;
-  /** Ms for which this leader could hear the members. */
+  /** Ms for which this leader was able to receive responses of the members. */
   readonly now: () => number;
   readonly log: Logger;
 }
 
 /** Keeps enough voters in the quorum. */
 export interface MemberKeeper {
-  /** Notes who has answered since the last look; for the leader only. */
+  /** Records which members have responded since the last call; for the leader only. */
   look(): void;
-  /** Makes the next single change, if one is due; for the leader only. */
+  /** Makes the next membership change, if one is due; for the leader only. */
   run(): Promise<void>;
-  /** Forgets who answered: this process leads anew. */
+  /** Clears the recorded responses when this process becomes leader. */
   reset(): void;
 }
 
 interface HeardMember {
-  /** When the newest message was sent that it answered, by the quorum's clock. */
+  /** Send time of the newest message that it acknowledged, by the quorum's clock. */
   readonly ackedSentMs: number;
   readonly heardMs: number;
 }
 
 /**
- * Makes the keeper.
+ * Creates the manager.
  *
- * @param options - The replica and how many voters there are to be.
- * @returns The keeper.
+ * @param options - The replica and the desired number of voters.
+ * @returns The manager.
  * @throws Nothing.
  * @example
  * await createMemberKeeper(options).run();
@@ -52,7 +52,7 @@
   const heard = new Map<string, HeardMember>();
   let changing = false;
 
-  // A member that never answered is silent from the first look on.
+  // A member that has never responded counts as unresponsive at once.
   function isSilent(id: string): boolean {
     return now() - (heard.get(id)?.heardMs ?? -Infinity) > silenceMs;
   }
--- a/src/fleet/create_member_keeper_test.ts
+++ b/src/fleet/create_member_keeper_test.ts
@@ -60,7 +60,7 @@
     keeper,
     answering,
     changes,
-    /** Lets time pass, of which the leader could hear a part. */
+    /** Advances time; the leader was able to receive responses for a part of it. */
     async pass(ms: number, heardMs = ms) {
       ackedSentMs += ms;
       listenedMs += heardMs;
@@ -78,7 +78,7 @@
   };
 }
 
-test("a voter that stays silent is replaced", async () => {
+test("a voter that stays unresponsive is replaced", async () => {
   const { answering, changes, pass } = startKeeper();
   await pass(0);
   answering.delete("b");
@@ -88,9 +88,8 @@
   assert.equal(changes.map((members) => members[3].role), ["voter"]);
 });
 
-// A leader that was stopped for long replaced the voters whose answers it had not
-// read yet.
-test("a voter that this leader could not hear is kept", async () => {
+// A leader that had been suspended replaced voters whose responses it had not read yet.
+test("a voter whose responses this leader could not receive is kept", async () => {
   const { answering, changes, pass } = startKeeper();
   await pass(0);
   answering.delete("b");
--- a/src/fleet/create_pace_watch.ts
+++ b/src/fleet/create_pace_watch.ts
@@ -1,5 +1,5 @@
 /**
- * Asks engines how slow they are, while gateways tell of slow streams.
+ * Polls engines for their slowness while gateways report slow streams.
  *
  * @module
  */
@@ -10,50 +10,53 @@
   EngineRecord,
 } from "../engines/index.ts";
 
-/** Reads an engine's own word on its pace; rejects where it gives none. */
+/**
+ * Reads the pace that an engine reports about itself, as a multiple of its usual time;
+ * rejects if it reports none.
+ */
 export type ReadPace = (
   address: string,
   options: EngineCallOptions,
 ) => Promise<number>;
 
-/** What the watch needs of its program. */
+/** Dependencies of {@link createPaceWatch}. */
 export interface CreatePaceWatchOptions {
-  /** Engines of which a request passes several. */
+  /** Engines of pipelines, where a request passes through several of them. */
   readonly getEngines: () => readonly EngineRecord[];
   readonly readPace: ReadPace;
   readonly onPace: (engineId: string, pace: number) => void;
-  /** Called with what an engine says of itself in its answer. */
+  /** Called with the notice that an engine's response carries. */
   readonly onNotice?: (engineId: string, notice: EngineNotice) => void;
   /** Monotonic time, in ms. */
   readonly now: () => number;
 }
 
-/** Asks engines how slow they are. */
+/** Polls engines for their slowness. */
 export interface PaceWatch {
-  /** A gateway tells over which engines slow streams run. */
+  /** Records a gateway's report of the engines over which slow streams run. */
   noteSlow(engineIds: readonly string[]): void;
-  /** Asks if it is time to. */
+  /** Polls engines, if a round is due. */
   tick(): Promise<void>;
 }
 
-/** Ms between two rounds of questions. */
+/** Minimum ms between two polling rounds. */
 const ROUND_INTERVAL_MS = 900;
 
-/** Ms for which rounds go on after the last sign of slowness. */
+/** Ms for which a report of slow streams counts. */
 const WATCH_MS = 2_500;
 
 /**
- * Engines that are asked in a round, at most. Of hundreds of gateways one always
- * has a slow stream, and each names the engines of a whole path: the slow one is
- * named by most of them. Rounds that ask all of 216 engines are 240 questions a
- * second, whatever happens.
+ * Maximum number of engines polled per round. With hundreds of gateways there is always
+ * one with a slow stream, and each reports all engines of a path: the slow engine is
+ * reported by most of them. Polling all of 216 engines in each round would be a
+ * constant 240 calls per second.
  */
 const MAX_ASKED = 16;
 
-/** Gateways, or beats of one, that have to name an engine before it is asked. */
+/** Reports, of several gateways or of one, that have to name an engine to poll it. */
 const LEAST_NAMINGS = 2;
 
-/** Ms for an answer. */
+/** Deadline of a poll, in ms. */
 const TIMEOUT_MS = 500;
 
 interface Naming {
@@ -62,11 +65,11 @@
 }
 
 /**
- * Makes the watch. A calm fleet is asked nothing; engines that were slow are
- * asked until they no longer are.
+ * Creates the monitor. Without reports of slow streams nothing is polled, except that
+ * slow engines are polled until they have recovered.
  *
- * @param options - The engines, and who hears of their pace.
- * @returns The watch.
+ * @param options - The engines, and where their pace is reported.
+ * @returns The monitor.
  * @throws Nothing.
  * @example
  * const watch = createPaceWatch(options);
@@ -85,7 +88,7 @@
       });
       options.onPace(engineId, pace);
     } catch {
-      // Silence is the business of beats and suspicions.
+      // Unresponsive engines are detected by missing heartbeats and gateways' reports.
     }
   }
 
@@ -98,7 +101,7 @@
     return counts;
   }
 
-  // Those known to be slow first, then those that were named most often.
+  // Engines known to be slow first, then those with the most reports.
   function listAsked(): EngineRecord[] {
     const counts = countNamings();
     const rank = ({ engineId, slowness }: EngineRecord) =>
--- a/src/fleet/create_pace_watch_test.ts
+++ b/src/fleet/create_pace_watch_test.ts
@@ -32,14 +32,14 @@
   return { watch, clock, asked };
 }
 
-test("a calm fleet is asked nothing", async () => {
+test("without slow streams no engine is polled", async () => {
   const { watch, asked } = startWatch();
   watch.noteSlow([]);
   await watch.tick();
   assert.equal(asked, []);
 });
 
-test("of 216 engines those are asked over which several slow streams run", async () => {
+test("of 216 engines only those named in several reports are polled", async () => {
   const { watch, asked } = startWatch();
   watch.noteSlow(["e3", "e7", "e9"]);
   await watch.tick();
@@ -49,10 +49,10 @@
   assert.equal([...asked].sort(), ["e3", "e7"]);
 });
 
-test("where all of 216 engines are named, the one that most name is asked", async () => {
+test("if all of 216 engines are reported, the one with the most reports is polled", async () => {
   const { watch, asked } = startWatch();
   for (let at = 0; at < 200; at++) {
-    // Slow for another reason each, and one in five over the slow engine.
+    // Each stream is slow for a reason of its own; one in five runs over the slow engine.
     const path = [0, 1, 2, 3].map((part) => `e${(at * 13 + part * 54) % 216}`);
     watch.noteSlow(at % 5 === 0 ? [...path, "e7"] : path);
   }
@@ -61,7 +61,7 @@
   assert.is(asked.length, 16);
 });
 
-test("an engine that is slow is asked until it no longer is", async () => {
+test("an engine known to be slow is polled until it has recovered", async () => {
   const { watch, clock, asked } = startWatch();
   watch.noteSlow(["e7"]);
   watch.noteSlow(["e7"]);
--- a/src/fleet/create_quarantine_desk.ts
+++ b/src/fleet/create_quarantine_desk.ts
@@ -1,6 +1,6 @@
 /**
- * The leader's part of the quarantine: records which upstreams ended under which
- * requests, gives out trials, says who is held back and for how long.
+ * The leader's part of the quarantine: records which upstreams crashed under which
+ * requests, grants trial runs, and decides which requests are held back for how long.
  *
  * @module
  */
@@ -23,19 +23,19 @@
 
 type CasesMessage = LeaderMessage & { type: "cases" };
 
-/** What the desk needs of its program. */
+/** Dependencies of {@link createQuarantineDesk}. */
 export interface CreateQuarantineDeskOptions {
   readonly getCases: () => CrashCases;
   /** Resolves once the command is committed and applied. */
   readonly propose: (command: FleetCommand) => Promise<unknown>;
-  /** Tells all gateways. */
+  /** Sends a message to all gateways. */
   readonly publish: (message: CasesMessage) => void;
   /** Monotonic time, in ms. */
   readonly now: () => number;
   readonly log: Logger;
 }
 
-/** What a gateway tells of suspected requests. */
+/** A gateway's reports on suspected requests. */
 export interface QuarantineNews {
   readonly crashes?: readonly CrashReport[];
   readonly proved?: readonly string[];
@@ -44,37 +44,36 @@
 
 /** The leader's part of the quarantine. */
 export interface QuarantineDesk {
-  /** Takes what a gateway tells. */
+  /** Handles a gateway's reports. */
   take(vm: string, news: QuarantineNews): void;
-  /** Gives out a trial: the upstream where the request may begin, if any. */
+  /** Grants a trial run: returns the upstream where the request may start, if any. */
   grantTrial(vm: string, wish: TrialWish): string | undefined;
   /** All cases, for operators and for gateways that join. */
   list(): readonly ToldCase[];
-  /** Lets a request go free. */
+  /** Clears the case of a request. */
   lift(requestKey: string): Promise<void>;
   /** Called on every replica after each change of the cases. */
   noteChange(options: { readonly isLeader: boolean }): void;
-  /** Forgets what is old; for the leader only. */
+  /** Clears expired cases; for the leader only. */
   tick(): void;
 }
 
-/** A request that runs as the only suspect of its upstream. */
+/** A trial run: a request that runs as the only suspect on its upstream. */
 interface Trial {
   readonly vm: string;
   readonly engineId: string;
   readonly untilMs: number;
 }
 
-/** Ms for which reports are gathered into one entry of the log. */
+/** Ms for which reports are batched into one log entry. */
 const GATHER_MS = 3;
 
 /**
- * Makes the desk. Times count from when this process first saw a change: a
- * replica that starts again holds convicted requests back for longer, never for
- * less.
+ * Creates the coordinator. Times count from when this process first saw a change: a
+ * replica that restarts holds convicted requests back for longer, never for less.
  *
- * @param options - The cases, how they are changed, who is told.
- * @returns The desk.
+ * @param options - The cases, how they are changed, where they are published.
+ * @returns The coordinator.
  * @throws Nothing.
  * @example
  * const desk = createQuarantineDesk({ getCases, propose, publish, now, log });
@@ -105,7 +104,8 @@
     }, GATHER_MS);
   }
 
-  // What fails here is told again: gateways repeat what the list does not say.
+  // A failed proposal needs no retry: gateways repeat reports that the published
+  // cases don't reflect.
   function change(command: FleetCommand): void {
     propose(command).catch((error) => log("casesNotRecorded", { error }));
   }
@@ -120,7 +120,8 @@
     }
   }
 
-  // What ends under a trial is put down to it, and to nobody beside it.
+  // A crash during a trial run counts against that request only, not against the
+  // requests that ran on the upstream at the same time.
   function takeReport(vm: string, report: CrashReport): void {
     const { requestKey, engineId } = report;
     const cases = getCases();
@@ -201,7 +202,8 @@
   return {
     take(vm, { crashes = [], proved = [], trialsEnded = [] }) {
       dropEndedTrials();
-      // The reports first: the end of an upstream is the end of its trial.
+      // Crash reports first: a crash must still be matched with its trial run before
+      // the end of the trial is handled.
       for (const report of crashes) takeReport(vm, report);
       for (const key of trialsEnded) {
         if (trials.get(key)?.vm === vm) trials.delete(key);
@@ -216,7 +218,7 @@
       if (getHeldMs(crashCase) > 0) return undefined;
       const running = trials.get(requestKey);
       if (running && running.vm !== vm) return undefined;
-      // One that asks again is given the same, or another where that is gone.
+      // A repeated request gets the same upstream, or another one if that has departed.
       const isSame = running && engineIds.includes(running.engineId);
       if (isSame) return running.engineId;
       trials.delete(requestKey);
--- a/src/fleet/create_quarantine_desk_test.ts
+++ b/src/fleet/create_quarantine_desk_test.ts
@@ -5,7 +5,7 @@
 import { createQuarantineDesk } from "./create_quarantine_desk.ts";
 import type { LeaderMessage } from "./messages.ts";
 
-/** Ms in which the desk gathers and proposes. */
+/** Ms after which reports have been batched and proposed. */
 const GATHER_MS = 30;
 
 function start(machine = createFleetMachine()) {
@@ -29,22 +29,26 @@
   return { desk, machine, state, told, crash };
 }
 
-test("the third end, on trial, convicts; all are told", async () => {
+test("the third crash, in a trial run, convicts the request; this is published", async () => {
   const { desk, told, crash } = start();
   await crash("g1", "r", "e1");
   const wish = { requestKey: "r", engineIds: ["e3", "e4"] };
-  assert.is(desk.grantTrial("g2", wish), undefined, "one end needs no trial");
+  assert.is(desk.grantTrial("g2", wish), undefined, "one crash needs no trial");
   await crash("g2", "r", "e2");
   assert.is(desk.grantTrial("g2", wish), "e3");
   assert.is(desk.grantTrial("g3", wish), undefined, "one trial at a time");
   const again = { ...wish, engineIds: ["e4", "e3"] };
-  assert.is(desk.grantTrial("g2", again), "e3", "who asks again has the same");
+  assert.is(
+    desk.grantTrial("g2", again),
+    "e3",
+    "a repeated request gets the same upstream",
+  );
   await crash("g2", "r", "e3");
   assert.is(told.at(-1)?.cases[0].heldMs, FIRST_HOLD_MS);
   assert.is(desk.grantTrial("g2", wish), undefined);
 });
 
-test("two suspects never run on trial at the same upstream", async () => {
+test("two suspects never have a trial run on the same upstream", async () => {
   const { desk, crash, state } = start();
   for (const key of ["a", "b", "c"]) {
     await crash("g1", key, "e1");
@@ -54,13 +58,13 @@
     desk.grantTrial("g1", { requestKey, engineIds: ["e3", "e4"] });
   assert.equal([ask("a"), ask("b"), ask("c")], ["e3", "e4", undefined]);
   await crash("g1", "a", "e3");
-  // What ran beside the guilty one is cleared with its conviction.
+  // The conviction clears the requests that ran beside the convicted one.
   assert.equal(desk.list().map(({ requestKey }) => requestKey), ["a"]);
   state.nowMs = 60_000;
-  assert.is(ask("b"), undefined, "it needs none any more");
+  assert.is(ask("b"), undefined, "it no longer needs a trial");
 });
 
-test("a trial that waited for long still convicts; one that is over frees its upstream", async () => {
+test("a trial run granted long ago still convicts; a finished one frees its upstream", async () => {
   const { desk, crash, state } = start();
   for (const key of ["a", "b"]) {
     await crash("g1", key, "e1");
@@ -78,7 +82,7 @@
   assert.equal(held.map(({ requestKey }) => requestKey), ["a"]);
 });
 
-test("an end under a trial speaks against nobody beside it", async () => {
+test("a crash during a trial run counts against no other request", async () => {
   const { desk, crash, machine } = start();
   await crash("g1", "r", "e1");
   await crash("g1", "r", "e2");
@@ -87,7 +91,7 @@
   assert.not.ok(machine.getCases().has("beside"));
 });
 
-test("what upstreams ran well is cleared everywhere", async () => {
+test("a request that upstreams completed is cleared at all gateways", async () => {
   const { desk, crash, told } = start();
   await crash("g1", "r", "e1");
   desk.take("g2", { proved: ["r", "unknown"] });
@@ -96,7 +100,7 @@
   assert.equal(desk.list(), []);
 });
 
-test("a hold outlives the leader, a restart and a snapshot, and ends in a trial", async () => {
+test("a hold survives leader changes, restarts and snapshots, and ends with a trial run", async () => {
   const { desk, crash, machine } = start();
   await crash("g1", "r", "e1");
   await crash("g1", "r", "e2");
@@ -114,7 +118,7 @@
   assert.is(next.desk.list()[0].heldMs, 2 * FIRST_HOLD_MS);
 });
 
-test("old suspicions are forgotten, and an operator may lift a hold", async () => {
+test("old suspicions expire, and an operator may lift a hold", async () => {
   const { desk, crash, state } = start();
   await crash("g1", "r", "e1");
   state.nowMs = SUSPICION_AGE_MS + 1;
@@ -125,7 +129,7 @@
   assert.equal(desk.list(), []);
 });
 
-test("who does not lead tells nobody, but counts the time", async () => {
+test("a follower publishes nothing, but tracks the age of cases", async () => {
   const { desk, crash, state, told } = start();
   state.isLeader = false;
   await crash("g1", "r", "e1");
--- a/src/fleet/create_recorder.ts
+++ b/src/fleet/create_recorder.ts
@@ -1,32 +1,33 @@
 /**
- * Records in the log what the leader knows, so that a new leader begins with it.
+ * Records the leader's in-memory state in the replicated log, so that a new leader
+ * starts with it.
  *
  * @module
  */
 
 import type { FleetCommand } from "./create_fleet_machine.ts";
 
-/** What a recorder needs of its program. */
+/** Dependencies of {@link createRecorder}. */
 export interface CreateRecorderOptions {
-  /** The command that records what has changed; undefined where nothing has. */
+  /** Returns the command that records the changes; undefined if there are none. */
   readonly findNews: () => FleetCommand | undefined;
   /** Resolves once the command is committed and applied. */
   readonly propose: (command: FleetCommand) => Promise<unknown>;
-  /** Called when the command could not be recorded. */
+  /** Called when a command could not be committed. */
   readonly onFailed: (error: unknown) => void;
 }
 
-/** Records what the leader knows. */
+/** Records the leader's state in the replicated log. */
 export interface Recorder {
-  /** Records what changed since the last time; for the leader only. */
+  /** Records the changes since the last record; for the leader only. */
   run(): Promise<void>;
 }
 
 /**
- * Makes the recorder. One command is under way at a time; what changes meanwhile
- * is found by the next run.
+ * Creates the recorder. One command is in flight at a time; changes in the meantime
+ * are found by the next run.
  *
- * @param options - What has changed, how it gets into the log.
+ * @param options - How changes are found and proposed.
  * @returns The recorder.
  * @throws Nothing.
  * @example
--- a/src/fleet/create_repeat_lender.ts
+++ b/src/fleet/create_repeat_lender.ts
@@ -1,51 +1,52 @@
 /**
- * The leader's part of the fleet's repeats, lent in small numbers to gateways
- * whose own part runs out.
+ * The leader's part of the fleet-wide retry budget, lent in small amounts to gateways
+ * whose local budget runs out.
  *
- * Each of 200 gateways has 3 to 4 repeats in 10 s by itself. One whose streams
- * hung on a lost engine needs more, while the others' lie unused: of 69 streams
- * of one data centre that were given up after a try, 56 were for want of them.
+ * Each of 200 gateways has a local budget of 3 to 4 retries in 10 s. A gateway whose
+ * streams depended on a failed engine needs more, while the budgets of the others are
+ * unused: of 69 streams in one data centre that were abandoned after an attempt, 56
+ * were abandoned for lack of retry budget.
  *
  * @module
  */
 
-/** How the fleet's repeats are divided. */
+/** The fleet-wide retry budget. */
 export interface RepeatBounds {
-  /** Repeats allowed in each window by all gateways together. */
+  /** Retries that all gateways together may make in each window. */
   readonly extra: number;
   /** Length of the window, in ms. */
   readonly windowMs: number;
 }
 
-/** What the lender needs. */
+/** Options of {@link createRepeatLender}. */
 export interface CreateRepeatLenderOptions extends RepeatBounds {
   /**
-   * Ms since which no other leader has lent. What an earlier one lent is not
-   * known, so nothing is lent before it has run out.
+   * Ms for which this process has been the leader. The loans of an earlier leader are
+   * unknown, so nothing is lent before they have expired.
    */
   readonly getLeadsForMs: () => number;
   /** Monotonic time, in ms. */
   readonly now: () => number;
 }
 
-/** Lends repeats. */
+/** Lends retries to gateways. */
 export interface RepeatLender {
-  /** Lends as many as are wanted and left; 0 where none are. */
+  /** Lends as many of the wanted retries as are left; 0 if none are. */
   lend(service: string, wanted: number): number;
 }
 
 /**
- * Share of the extra repeats that is lent. Little of it: for 12 s after a change of
- * leaders nothing is, and a large loss asks for repeats at all gateways at once.
+ * Share of the retry budget that is lent. It is small because nothing is lent for 12 s
+ * after a leader change, and a large failure needs retries at all gateways at once.
  */
 export const LENT_SHARE = 0.2;
 
-/** Share of the extra repeats that gateways have without asking. */
+/** Share of the retry budget that gateways have locally, without asking the leader. */
 export const OWN_EXTRA_SHARE = 0.72;
 
 /**
- * Ms, from the moment at which a gateway asks, for which what it is lent may be
- * used: long enough for the answer to come and streams to be sent again.
+ * Ms for which a loan may be used, counted from the gateway's request: long enough for
+ * the reply to arrive and streams to be retried.
  */
 export const LOAN_MS = 2_000;
 
@@ -55,11 +56,11 @@
 }
 
 /**
- * Makes the lender. What is lent in a window and the life of a loan together
- * never exceeds its share: whenever loans are used, also late ones, by gateways
- * that freeze, are cut off or die, the uses of a window keep to the bound.
+ * Creates the lender. The loans of any window plus one loan lifetime never exceed the
+ * lendable share. So the retries made in a window stay within the budget whenever loans
+ * are used, even if gateways freeze, are partitioned or crash.
  *
- * @param options - The bounds, and for how long this process leads.
+ * @param options - The retry budget, and for how long this process has been leader.
  * @returns The lender.
  * @throws Nothing.
  * @example
--- a/src/fleet/create_rollout_watch.ts
+++ b/src/fleet/create_rollout_watch.ts
@@ -1,6 +1,6 @@
 /**
- * Follows the newest configuration from its acceptance until it is in force at all
- * gateways.
+ * Tracks the rollout of the newest configuration, from its acceptance until it is in
+ * force at all gateways.
  *
  * @module
  */
@@ -8,7 +8,7 @@
 import type { Logger } from "../logs/index.ts";
 import type { Metrics } from "../metrics/index.ts";
 
-/** What the watch needs of its program. */
+/** Dependencies of {@link createRolloutWatch}. */
 export interface CreateRolloutWatchOptions {
   /** Monotonic time, in ms. */
   readonly now: () => number;
@@ -16,13 +16,13 @@
   readonly metrics: Pick<Metrics, "gauge" | "timing">;
 }
 
-/** Follows the newest configuration. */
+/** Tracks the rollout of the newest configuration. */
 export interface RolloutWatch {
-  /** Notes that a version was accepted; earlier ones are no longer followed. */
+  /** Records that a version was accepted; earlier ones are no longer tracked. */
   noteAccepted(version: number): void;
-  /** Notes the version in force at a gateway. */
+  /** Records the version in force at a gateway. */
   noteHeld(vm: string, version: number): void;
-  /** Forgets a gateway whose session ended. */
+  /** Removes a gateway whose session has ended. */
   forget(vm: string): void;
   /** Ms since the newest version was accepted. */
   getAgeMs(): number;
@@ -31,10 +31,10 @@
 }
 
 /**
- * Makes the watch.
+ * Creates the tracker.
  *
- * @param options - The time, logs and metrics.
- * @returns The watch, without a version.
+ * @param options - The clock, the log and the metrics.
+ * @returns The tracker, without a version.
  * @throws Nothing.
  * @example
  * const rollout = createRolloutWatch({ now, log, metrics });
--- a/src/fleet/create_rollout_watch_test.ts
+++ b/src/fleet/create_rollout_watch_test.ts
@@ -13,7 +13,7 @@
   return { rollout, inForce, passMs: (ms: number) => void (nowMs += ms) };
 }
 
-test("a version is in force once the last gateway holds it", () => {
+test("a version is in force once the last gateway has applied it", () => {
   const { rollout, inForce, passMs } = startRollout();
   for (const vm of ["a", "b"]) rollout.noteHeld(vm, 3);
   rollout.noteAccepted(5);
@@ -27,7 +27,7 @@
   ]);
 });
 
-test("a gateway that is gone holds up no version", () => {
+test("a departed gateway does not hold up a rollout", () => {
   const { rollout, inForce } = startRollout();
   for (const vm of ["a", "b"]) rollout.noteHeld(vm, 3);
   rollout.noteAccepted(5);
--- a/src/fleet/create_written_news.ts
+++ b/src/fleet/create_written_news.ts
@@ -1,6 +1,6 @@
 /**
- * The leader's messages as they go to the wire. What goes to many gateways alike
- * is written out once.
+ * Encodes the leader's messages for the wire and decodes those of gateways. A message
+ * that goes to many gateways is encoded once.
  *
  * @module
  */
@@ -18,37 +18,37 @@
   parseGatewayMessage,
 } from "./session_messages.ts";
 
-/** What the news tells of. */
+/** Dependencies of {@link createWrittenNews}. */
 export interface CreateWrittenNewsOptions {
   readonly getEngines: () => readonly EngineRecord[];
-  /** Whether these are surely all engines. */
+  /** Whether the list is known to be complete. */
   readonly knowsAllEngines: () => boolean;
   /** Configurations that gateways may have. */
   readonly history: Pick<ConfigHistory, "get" | "read">;
   readonly metrics: Pick<Metrics, "count">;
 }
 
-/** The leader's messages as they go to the wire. */
+/** Encodes and decodes the messages of gateway sessions. */
 export interface WrittenNews {
   format(message: LeaderMessage): wire.FleetMessage;
   parse(received: wire.FleetMessage): GatewayMessage;
-  /** An accepted configuration, as a change where that is known and shorter. */
+  /** Encodes an accepted configuration, as a change if that is known and shorter. */
   formatConfig(
     accepted: AcceptedConfig,
     /** Version that the gateway has; -1 for none. */
     fromVersion: number,
   ): wire.FleetMessage;
-  /** All engines, as they were when {@link forgetEngines} was last called. */
+  /** Encodes the list of all engines; cached until {@link forgetEngines} is called. */
   formatEngines(): wire.FleetMessage;
-  /** Lets the next list of all engines be written anew. */
+  /** Invalidates the cached list of all engines. */
   forgetEngines(): void;
 }
 
 /**
- * Makes the news; numbers of engines go on as long as it lasts.
+ * Creates the codec; it numbers engines consistently during its lifetime.
  *
- * @param options - What the news tells of.
- * @returns The news.
+ * @param options - The engines and configurations to encode.
+ * @returns The codec.
  * @throws Nothing.
  * @example
  * stream.write(news.formatEngines());
--- a/src/fleet/fleet_parts_test.ts
+++ b/src/fleet/fleet_parts_test.ts
@@ -18,14 +18,14 @@
   for (const command of commands) machine.apply(JSON.stringify(command));
 }
 
-test("a document comes out of its packing as it went in", () => {
+test("packing and unpacking a document gives the same document", () => {
   const document = `{ "version": 7, "routes": [${"é,".repeat(500)}] }`;
   const packed = packDocument(document);
   assert.is(unpackDocument(packed), document);
   assert.ok(packed.length < document.length / 5);
 });
 
-test("each gateway is told the others' work, not its own", () => {
+test("the load of the other gateways is the sum without a gateway's own", () => {
   const one = { a: { tokens: 5, requests: 1 }, b: { tokens: 7, requests: 0 } };
   const two = { a: { tokens: 2, requests: 1 } };
   const sum = sumLoads([one, two]);
@@ -34,7 +34,7 @@
   assert.equal(subtractLoads(sum, two), one);
 });
 
-test("the highest version holds, whatever comes later", () => {
+test("a lower or equal version that is applied later does not replace the highest", () => {
   const told: number[] = [];
   const machine = createFleetMachine({
     onChange: (command) => {
@@ -52,7 +52,7 @@
   assert.equal(told, [3, 7]);
 });
 
-test("a leave is never taken back, and gone is final", () => {
+test("a leave is never undone, and gone is final", () => {
   const machine = createFleetMachine();
   apply(
     machine,
@@ -62,7 +62,7 @@
   assert.is(machine.getLeave("e"), "gone");
 });
 
-test("gateways that were counted on are there after a restart", () => {
+test("recorded gateways survive a restart", () => {
   const [first, second] = ["g1", "g2"].map((vm) => ({
     vm,
     place: "a",
@@ -83,7 +83,7 @@
   ]);
 });
 
-test("what was applied is there after a restart, bounded", () => {
+test("applied commands survive a restart, and the number of leaves is bounded", () => {
   const machine = createFleetMachine({ maxLeaves: 2 });
   apply(
     machine,
--- a/src/fleet/is_same_gateway.ts
+++ b/src/fleet/is_same_gateway.ts
@@ -1,5 +1,5 @@
 /**
- * Compares what is known of a gateway.
+ * Compares records of a gateway.
  *
  * @module
  */
@@ -7,14 +7,14 @@
 import type { GatewayRecord } from "./messages.ts";
 
 /**
- * Tells whether two records of a gateway say the same.
+ * Checks whether two records of a gateway are equal.
  *
  * @param a - One record.
  * @param b - The other.
- * @returns Whether they say the same.
+ * @returns Whether they are equal.
  * @throws Nothing.
  * @example
- * const isNews = !isSameGateway(known, gateway);
+ * const isChanged = !isSameGateway(known, gateway);
  */
 export function isSameGateway(a: GatewayRecord, b: GatewayRecord): boolean {
   return a.vm === b.vm && a.place === b.place && a.address === b.address &&
--- a/src/fleet/messages.ts
+++ b/src/fleet/messages.ts
@@ -1,5 +1,5 @@
 /**
- * What gateways and control processes tell each other.
+ * The messages between gateways and control processes.
  *
  * @module
  */
@@ -8,90 +8,90 @@
 import type { CrashReport } from "../quarantine/index.ts";
 import type { ConfigChange, RouteConfig } from "../routes/index.ts";
 
-/** Decodes a configuration as an operator wrote it; throws where it can't. */
+/** Decodes a configuration document of an operator; throws if it is malformed. */
 export type DecodeConfig = (document: string) => RouteConfig;
 
-/** A gateway as callers and other gateways need to know it. */
+/** What callers and other gateways need to know about a gateway. */
 export interface GatewayRecord {
   readonly vm: string;
   readonly place: string;
-  /** Host and port where it takes callers. */
+  /** Host and port where it accepts callers. */
   readonly address: string;
-  /** Whether callers may be sent there. */
+  /** Whether callers may be routed to it. */
   readonly isReady: boolean;
 }
 
 /**
- * Work in flight by upstream: tokens on it, and requests that begin there.
- * Upstreams without any are left out.
+ * Load in flight by upstream: tokens being processed, and requests that start there.
+ * Upstreams without load are left out.
  */
 export type EngineLoads = Readonly<
   Record<string, { readonly tokens: number; readonly requests: number }>
 >;
 
-/** What a gateway's streams did since it last told, by service. */
+/** Counts of a gateway's streams since its last report, by service. */
 export type GatewayActivity = Readonly<
   Record<string, {
-    /** Streams that callers asked for. */
+    /** Streams that callers requested. */
     readonly asked: number;
-    /** Streams that ended whole. */
+    /** Streams that completed. */
     readonly ended: number;
-    /** Streams that wait for room now. */
+    /** Streams that are waiting for capacity now. */
     readonly waiting: number;
   }>
 >;
 
-/** What the streams of all gateways do, by service. */
+/** Activity of the streams of all gateways, by service. */
 export type FleetActivity = Readonly<
   Record<string, {
     readonly askedPerS: number;
     readonly endedPerS: number;
-    /** Streams that wait for room. */
+    /** Streams that are waiting for capacity. */
     readonly waiting: number;
   }>
 >;
 
-/** A rate limit of an upstream as gateways are told of it. */
+/** A rate limit of an upstream as the leader publishes it to gateways. */
 export interface ToldLimit {
-  /** Run of the upstream. */
+  /** Incarnation of the upstream. */
   readonly engineId: string;
-  /** Requests a second from all gateways together; null where it is unlimited. */
+  /** Requests per second from all gateways together; null if it is unlimited. */
   readonly limitPerS: number | null;
-  /** Another one for each limit that is told. */
+  /** Unique for each limit that is published. */
   readonly version: number;
 }
 
-/** A rate limit that a gateway read in an upstream's answer. */
+/** A rate limit that a gateway read in an upstream's response. */
 export interface LimitReport {
   readonly engineId: string;
-  /** Requests a second from all gateways together; null where it names no limit. */
+  /** Requests per second from all gateways together; null if it names no limit. */
   readonly limitPerS: number | null;
   /**
-   * Version of the limit that the gateway knew when it sent the request; absent where
-   * it knew none.
+   * Version of the limit that the gateway knew when it sent the request; absent if it
+   * knew none.
    */
   readonly knownVersion?: number;
 }
 
-/** Sends for which a gateway asks, by upstream. */
+/** Numbers of sends that a gateway requests, by upstream. */
 export type GrantCounts = Readonly<Record<string, number>>;
 
-/** Sends that are granted. */
+/** Granted sends. */
 export type SendGrants = readonly {
   readonly engineId: string;
   readonly count: number;
-  /** Ms until the next may be granted; 0 where all that were asked for are. */
+  /** Ms until the next send may be granted; 0 if all requested ones were granted. */
   readonly retryAfterMs: number;
 }[];
 
-/** What a gateway tells the leader. */
+/** A message of a gateway to the leader. */
 export type GatewayMessage =
   | {
     readonly type: "hello";
     readonly gateway: GatewayRecord;
-    /** Version of the configuration that it has; -1 without any. */
+    /** Version of the configuration that it has; -1 if none. */
     readonly version: number;
-    /** Whether it was told of the others; absent where it was. */
+    /** Whether it has received the list of gateways; absent if it has. */
     readonly knowsGateways?: boolean;
     /** Gateway's monotonic time, in ms, when it sent this. */
     readonly sentMs: number;
@@ -101,82 +101,82 @@
     /** Gateway's monotonic time, in ms, when it sent this. */
     readonly sentMs: number;
     readonly isReady: boolean;
-    /** Version of the configuration in force there; absent where it was told. */
+    /** Version of the configuration in force there; absent if already reported. */
     readonly version?: number;
-    /** Engines that did not answer it. */
+    /** Engines that did not respond to it. */
     readonly suspects: readonly string[];
-    /** Engines that it found lost by its questions; absent where none. */
+    /** Engines that it found failed by probing; absent if none. */
     readonly lost?: readonly string[];
     /**
-     * Its own work in flight; absent where it has not changed, and before the
-     * gateway knows how this leader numbers upstreams.
+     * Its own load in flight; absent if it has not changed, and before the gateway
+     * knows how this leader numbers upstreams.
      */
     readonly loads?: EngineLoads;
-    /** What its streams did; absent where they did nothing. */
+    /** Counts of its streams; absent if there was no activity. */
     readonly activity?: GatewayActivity;
-    /** Repeats that it would borrow, by service; absent where none. */
+    /** Retries that it would borrow, by service; absent if none. */
     readonly repeatsWanted?: Readonly<Record<string, number>>;
     /**
-     * Engines over which streams run that lately had pauses near what callers
-     * bear; absent where none had.
+     * Engines of streams that recently had gaps close to what callers tolerate; absent
+     * if none.
      */
     readonly slowEngines?: readonly string[];
     /**
-     * Upstreams that said in answers that they leave, told until its list of
-     * upstreams has it; absent where none.
+     * Upstreams that announced in responses that they are leaving, reported until the
+     * gateway's list of upstreams shows it; absent if none.
      */
     readonly leaving?: readonly string[];
-    /** Upstreams that ended under its requests; absent where none. */
+    /** Upstreams that crashed under its requests; absent if none. */
     readonly crashes?: readonly CrashReport[];
-    /** Suspected requests that upstreams have run well; absent where none. */
+    /** Suspected requests that upstreams have completed; absent if none. */
     readonly proved?: readonly string[];
-    /** Requests whose trial here has ended; absent where none. */
+    /** Requests whose trial run on this gateway has ended; absent if none. */
     readonly trialsEnded?: readonly string[];
-    /** Suspected requests that it would run on trial; absent where none. */
+    /** Suspected requests for which it requests a trial run; absent if none. */
     readonly trialsWanted?: readonly TrialWish[];
-    /** Rate limits that it read in answers; absent where none are new. */
+    /** New rate limits that it read in responses; absent if none. */
     readonly limits?: readonly LimitReport[];
   }
   | {
-    /** Asks for leave to send to upstreams that are limited. */
+    /** Requests permission to send to rate-limited upstreams. */
     readonly type: "grantRequest";
     readonly counts: GrantCounts;
-    /** Gateway's monotonic time, in ms, when it asked. */
+    /** Gateway's monotonic time, in ms, of its request. */
     readonly askedMs: number;
   };
 
-/** A suspected request that a gateway would run on trial. */
+/** A request of a gateway to run a suspected request on trial. */
 export interface TrialWish {
   readonly requestKey: string;
-  /** Upstreams at which it may begin, the preferred first. */
+  /** Upstreams where it may start, in order of preference. */
   readonly engineIds: readonly string[];
 }
 
-/** A suspected request as gateways are told of it. */
+/** A suspected request as the leader publishes it to gateways. */
 export interface ToldCase {
   readonly requestKey: string;
-  /** Runs of upstreams that ended under it. */
+  /** Incarnations of upstreams that crashed under it. */
   readonly engineIds: readonly string[];
-  /** Ms for which it is held back from now on; 0 where it may be tried. */
+  /** Ms for which it is held back from now on; 0 if it may have a trial run. */
   readonly heldMs: number;
 }
 
-/** What the leader tells a gateway. */
+/** A message of the leader to a gateway. */
 export type LeaderMessage =
   | { readonly type: "redirect"; readonly address: string }
   | {
     readonly type: "welcome";
-    /** Where the control processes talk to each other and to gateways. */
+    /** Addresses of the control processes, for each other and for gateways. */
     readonly controlAddresses: readonly string[];
-    /** All requests that are suspected of ending upstreams. */
+    /** All requests suspected of crashing upstreams. */
     readonly cases: readonly ToldCase[];
-    /** All rate limits of upstreams that are in force. */
+    /** All rate limits in force. */
     readonly limits: readonly ToldLimit[];
   }
   | {
     readonly type: "config";
     readonly version: number;
-    /** The configuration as the operator wrote it, packed. */
+    /** The operator's configuration document, compressed. */
     readonly packed: string;
   }
   | {
@@ -190,29 +190,29 @@
   }
   | {
     readonly type: "engines";
-    /** Whether these are all; otherwise only what changed. */
+    /** Whether the list is complete; otherwise it contains changes only. */
     readonly isWhole: boolean;
     readonly engines: readonly EngineRecord[];
     readonly gone: readonly string[];
-    /** Those of the gone that still serve what they have; absent where none do. */
+    /** The departed ones that still serve their current requests; absent if none. */
     readonly serving?: readonly string[];
   }
   | {
     readonly type: "gateways";
-    /** Whether these are all; otherwise only what changed. */
+    /** Whether the list is complete; otherwise it contains changes only. */
     readonly isWhole: boolean;
     readonly gateways: readonly GatewayRecord[];
-    /** VMs whose gateways are no longer there. */
+    /** VMs of departed gateways. */
     readonly gone: readonly string[];
   }
   | {
     readonly type: "loads";
-    /** Work in flight of all gateways, the one that is told included. */
+    /** Load in flight of all gateways, including the receiver. */
     readonly loads: EngineLoads;
     readonly activity: FleetActivity;
   }
   | {
-    /** Engines that gateways of the same data centre found lost. */
+    /** Engines that gateways of the same data centre found failed. */
     readonly type: "lost";
     readonly engineIds: readonly string[];
   }
@@ -220,62 +220,62 @@
     readonly type: "repeatsLent";
     readonly service: string;
     readonly count: number;
-    /** Gateway's monotonic time, in ms, when it asked. */
+    /** Gateway's monotonic time, in ms, of its request. */
     readonly askedMs: number;
   }
   | {
-    /** What changed of the requests that are suspected of ending upstreams. */
+    /** Changes of the requests suspected of crashing upstreams. */
     readonly type: "cases";
     readonly cases: readonly ToldCase[];
-    /** Requests that nothing speaks against any more. */
+    /** Requests that are no longer suspected. */
     readonly cleared: readonly string[];
   }
   | {
-    /** A suspected request may run once, beginning at this upstream. */
+    /** A suspected request may have one trial run, starting at this upstream. */
     readonly type: "trial";
     readonly requestKey: string;
     readonly engineId: string;
-    /** Gateway's monotonic time, in ms, when it asked. */
+    /** Gateway's monotonic time, in ms, of its request. */
     readonly askedMs: number;
   }
   | {
-    /** Rate limits of upstreams that came into force, changed or ended. */
+    /** Rate limits that came into force, changed or ended. */
     readonly type: "limits";
     readonly limits: readonly ToldLimit[];
   }
   | {
     readonly type: "grants";
     readonly grants: SendGrants;
-    /** Gateway's monotonic time, in ms, when it asked. */
+    /** Gateway's monotonic time, in ms, of its request. */
     readonly askedMs: number;
   }
   | {
     readonly type: "beatAck";
     readonly sentMs: number;
-    /** Version in force when a quorum surely held the leader's lease. */
+    /** Version in force when a quorum last confirmed the leader's lease. */
     readonly version: number;
   };
 
-/** A call that any control process takes and the leader answers. */
+/** A call that any control process accepts and the leader answers. */
 export type FleetCall =
   | {
     readonly type: "putConfig";
-    /** The configuration as the operator wrote it, packed. */
+    /** The operator's configuration document, compressed. */
     readonly packed: string;
   }
   | { readonly type: "readConfig" }
   | { readonly type: "beat"; readonly beat: EngineBeat }
   | {
     readonly type: "leave";
-    /** The upstream's name, as it says it itself. */
+    /** The upstream's name, as it reports it itself. */
     readonly engineId: string;
   }
-  /** Asks which requests are suspected of ending upstreams. */
+  /** Lists the requests suspected of crashing upstreams. */
   | { readonly type: "listCases" }
-  /** Lets a request go free, whatever speaks against it. */
+  /** Clears the case of a request, whatever the evidence. */
   | { readonly type: "liftCase"; readonly requestKey: string };
 
-/** The leader's answer to a call. */
+/** The leader's reply to a call. */
 export type FleetReply =
   | { readonly type: "done" }
   | { readonly type: "document"; readonly document: string | null }
--- a/src/fleet/open_fleet_storage.ts
+++ b/src/fleet/open_fleet_storage.ts
@@ -1,6 +1,5 @@
 /**
- * Opens the data folder of a control process, and forms the cluster where all
- * begin.
+ * Opens the data folder of a control process, and forms the cluster on the first start.
  *
  * @module
  */
@@ -14,31 +13,30 @@
   type QuorumStorage,
 } from "../storage/index.ts";
 
-/** A control process as the settings name it. */
+/** A control process as it is listed in the settings. */
 export interface FleetSeed {
-  /** Where upstreams and operators reach it; names it in the quorum. */
+  /** Address for upstreams and operators; also its name in the quorum. */
   readonly callerAddress: string;
-  /** Where the other processes of the system reach it. */
+  /** Address for the other processes of the system. */
   readonly peerAddress: string;
 }
 
-/** Whose folder it is, and who begins with it. */
+/** Options of {@link openFleetStorage}. */
 export interface OpenFleetStorageOptions extends FleetSeed {
   readonly fleetId: string;
-  /** Absent where there is no disk. */
+  /** Absent if there is no disk. */
   readonly dataFolder?: string;
-  /** Whether the cluster is formed now, by all seeds together. */
+  /** Whether all seeds form a new cluster together. */
   readonly isFirstStart: boolean;
   readonly seeds: readonly FleetSeed[];
   readonly log: Logger;
 }
 
 /**
- * Opens the data folder. All first voters are given the same seeds, so that
- * they form one cluster without asking each other, and no half of them can form
- * another.
+ * Opens the data folder. All initial voters are given the same seeds, so that they form
+ * one cluster without asking each other, and no subset of them can form another.
  *
- * @param options - Whose folder it is, and the seeds.
+ * @param options - The folder, the process that owns it, and the seeds.
  * @returns The storage.
  * @throws {StorageOwnerError | StorageDamageError} When the folder is refused.
  * @example
@@ -62,7 +60,7 @@
     folder: dataFolder,
     fleetId,
     vm: callerAddress,
-    // The platform starts one process on a folder.
+    // No lock is needed: the platform starts only one process per folder.
     isLocked: false,
     form: isFirstVoter
       ? { address: peerAddress, clusterId, members: listFirstVoters(seeds) }
--- a/src/fleet/pack_document.ts
+++ b/src/fleet/pack_document.ts
@@ -1,5 +1,5 @@
 /**
- * Packs a configuration as the operator wrote it, for the log and the wire.
+ * Compresses configuration documents for the replicated log and the wire.
  *
  * @module
  */
@@ -8,10 +8,10 @@
 import { deflateRawSync, inflateRawSync } from "node:zlib";
 
 /**
- * Packs a text; a configuration shrinks to about a tenth.
+ * Compresses a document; a configuration shrinks to about a tenth.
  *
- * @param document - The text.
- * @returns The packed text, in base64.
+ * @param document - The document's text.
+ * @returns The compressed text, in base64.
  * @throws Nothing.
  * @example
  * const packed = packDocument('{"version":7}');
@@ -21,10 +21,10 @@
 }
 
 /**
- * Unpacks a text.
+ * Decompresses a document.
  *
- * @param packed - What {@link packDocument} gave.
- * @returns The text.
+ * @param packed - The result of {@link packDocument}.
+ * @returns The document's text.
  * @throws {Error} When it was not packed by {@link packDocument}.
  * @example
  * const document = unpackDocument(packed);
--- a/src/fleet/session_messages.ts
+++ b/src/fleet/session_messages.ts
@@ -1,13 +1,12 @@
 /**
- * Writes the messages of a session between a gateway and the leader for the
- * wire, and reads them.
+ * Encodes and decodes the messages of a session between a gateway and the leader.
  *
- * Measured with 221 engines and 200 gateways, each with 40 engines in its loads:
- * the list of all engines takes 3.7 KB in place of 42.5 KB of JSON text, the sum
- * of all loads 1.2 KB in place of 9.5 KB, one gateway's loads 0.2 KB in place of
- * 1.7 KB (session_messages_test.ts). A new leader tells the list to all gateways:
- * as text that is 8.5 MB, 0.7 s of a link of 100 Mbit/s and longer than followers
- * wait for a heartbeat.
+ * With 221 engines and 200 gateways, each with 40 engines in its loads, the list of all
+ * engines takes 3.7 KB instead of 42.5 KB of JSON text, the sum of all loads 1.2 KB
+ * instead of 9.5 KB, and one gateway's loads 0.2 KB instead of 1.7 KB
+ * (session_messages_test.ts). A new leader sends the list to all gateways: as text that
+ * is 8.5 MB, which takes 0.7 s on a link of 100 Mbit/s, longer than followers wait for
+ * a heartbeat.
  *
  * @module
  */
@@ -22,16 +21,16 @@
   LeaderMessage,
 } from "./messages.ts";
 
-/** Characters of text from which on a message is packed: short ones gain nothing. */
+/** Minimum length of a message that is compressed; shorter ones gain nothing. */
 const PACKED_FROM_CHARS = 400;
 
 /**
- * Writes a message of the leader. What it tells all gateways is written once
- * and sent to each.
+ * Encodes a message of the leader. A message to all gateways is encoded once and sent
+ * to each.
  *
  * @param message - The message.
- * @param numbers - The leader's numbers; engines that are told get one.
- * @returns The message for the wire.
+ * @param numbers - The leader's engine numbers; engines in the message are assigned one.
+ * @returns The encoded message.
  * @throws Nothing.
  * @example
  * stream.write(formatLeaderMessage({ type: "loads", loads }, numbers));
@@ -53,12 +52,12 @@
 }
 
 /**
- * Reads a message of the leader.
+ * Decodes a message of the leader.
  *
- * @param received - The message from the wire.
- * @param numbers - The session's numbers; those that are told are learnt.
+ * @param received - The encoded message.
+ * @param numbers - The session's engine numbers; those in the message are added.
  * @returns The message.
- * @throws {Error} When it was not written by {@link formatLeaderMessage}.
+ * @throws {Error} When it was not encoded by {@link formatLeaderMessage}.
  * @example
  * const message = parseLeaderMessage(received, numbers);
  */
@@ -85,11 +84,11 @@
 }
 
 /**
- * Writes a message of a gateway.
+ * Encodes a message of a gateway.
  *
  * @param message - The message.
- * @param numbers - The session's numbers.
- * @returns The message for the wire.
+ * @param numbers - The session's engine numbers.
+ * @returns The encoded message.
  * @throws Nothing.
  * @example
  * stream.write(formatGatewayMessage(beat, numbers));
@@ -109,12 +108,12 @@
 }
 
 /**
- * Reads a message of a gateway.
+ * Decodes a message of a gateway.
  *
- * @param received - The message from the wire.
- * @param numbers - The leader's numbers.
+ * @param received - The encoded message.
+ * @param numbers - The leader's engine numbers.
  * @returns The message.
- * @throws {Error} When it was not written by {@link formatGatewayMessage}.
+ * @throws {Error} When it was not encoded by {@link formatGatewayMessage}.
  * @example
  * const message = parseGatewayMessage(received, numbers);
  */
--- a/src/fleet/session_messages_test.ts
+++ b/src/fleet/session_messages_test.ts
@@ -18,7 +18,7 @@
 /** Engines over which one gateway's streams run. */
 const ENGINES_OF_GATEWAY = 40;
 
-/** Numbers that look drawn at random and are the same in each run. */
+/** Deterministic pseudo-random numbers. */
 function draw(seed: number): number {
   return Math.imul(seed + 1, 2_654_435_761) >>> 0;
 }
@@ -76,7 +76,7 @@
   return { leader, gateway, list, told, heard };
 }
 
-test("messages come out of the wire as they went in", () => {
+test("encoding and decoding a message gives the same message", () => {
   const { leader, gateway, list, heard } = meet();
   assert.equal(heard, list);
   const sum: LeaderMessage = {
@@ -104,26 +104,26 @@
   assert.equal(parseLeaderMessage(toldAck, gateway), ack);
 });
 
-test("loads of no engine at all are news too", () => {
+test("empty loads are sent too", () => {
   const { leader, gateway } = meet();
   const none: LeaderMessage = { type: "loads", loads: {}, activity: {} };
   const told = overTheWire(formatLeaderMessage(none, leader));
   assert.equal(parseLeaderMessage(told, gateway), none);
 });
 
-test("an engine that the leader does not know is left out", () => {
+test("an engine that the leader has not numbered is left out", () => {
   const { gateway } = meet();
   const loads = { stranger: { tokens: 5, requests: 1 } };
   assert.equal(gateway.formatLoads(loads).engineNumbers, []);
 });
 
-test("the whole list of 221 engines takes a tenth of the 42 KB of its text", () => {
+test("the encoded list of 221 engines takes less than a tenth of its 42 KB of JSON", () => {
   const { list, told } = meet();
   const textBytes = JSON.stringify(list).length;
   assert.ok(measure(told) < textBytes / 10, `${measure(told)} of ${textBytes}`);
 });
 
-test("loads of 200 gateways take a seventh of what they take as text", () => {
+test("the encoded loads of 200 gateways take less than a seventh of their JSON", () => {
   const { leader, gateway } = meet();
   const all = Array.from({ length: GATEWAYS }, (_, at) => makeLoads(at));
   const sum = sumLoads(all);
--- a/src/fleet/start_fleet_control.ts
+++ b/src/fleet/start_fleet_control.ts
@@ -1,7 +1,7 @@
 /**
- * The control side of a fleet whose upstreams and gateways register
- * themselves: a quorum that holds the accepted configuration, and a leader
- * that tells the gateways.
+ * The control plane of a fleet whose upstreams and gateways register themselves: a
+ * quorum that stores the accepted configuration, and a leader that publishes it to the
+ * gateways.
  *
  * @module
  */
@@ -50,35 +50,35 @@
 
 /** Settings of a control process. */
 export interface FleetControlSettings {
-  /** Names the fleet; other fleets are refused. */
+  /** Name of the fleet; processes of other fleets are rejected. */
   readonly fleetId: string;
-  /** Where operators and upstreams reach this process; names it in the quorum. */
+  /** Address for operators and upstreams; also this process's name in the quorum. */
   readonly callerAddress: string;
-  /** Where the other processes of the system reach it. */
+  /** Address for the other processes of the system. */
   readonly peerAddress: string;
   /**
-   * Folder that outlives the process; absent where there is no disk: it then
-   * follows, passes calls on and never votes.
+   * Folder that persists across restarts; absent if there is no disk: the process then
+   * follows, forwards calls and never votes.
    */
   readonly dataFolder?: string;
-  /** Whether the cluster is formed now, by all first voters together. */
+  /** Whether all initial voters form a new cluster together. */
   readonly isFirstStart: boolean;
-  /** Voters that losses leave enough of. */
+  /** Number of voters that tolerates the expected failures. */
   readonly voters: number;
-  /** Ms between two beats of an upstream. */
+  /** Ms between two heartbeats of an upstream. */
   readonly beatIntervalMs: number;
-  /** Bound on the repeats of all gateways together. */
+  /** Retry budget of all gateways together. */
   readonly repeats: RepeatBounds;
   /**
-   * Monotonic time, in ms, at which this process started: no leader reached it
-   * before. That of the call by default.
+   * Monotonic time, in ms, at which this process started: no leader can have contacted
+   * it before. Defaults to the time of the call.
    */
   readonly processStartedMs?: number;
 }
 
 /** Options of {@link startFleetControl}. */
 export interface StartFleetControlOptions {
-  /** Control processes to begin with; read anew whenever they are needed. */
+  /** Control processes to contact first; read again whenever they are needed. */
   readonly getSeeds: () => readonly FleetSeed[];
   readonly decodeConfig: DecodeConfig;
   readonly sendLayerOrder: SendLayerOrder;
@@ -90,15 +90,15 @@
 
 /** A running control process. */
 export interface FleetControl {
-  /** Answers a call itself where it leads, and passes it on elsewhere. */
+  /** Answers a call if this process leads; forwards it to the leader otherwise. */
   call(call: FleetCall): Promise<FleetReply>;
-  /** Where upstreams and operators reach the leader; empty if not known. */
+  /** Address of the leader for upstreams and operators; empty if unknown. */
   getLeaderCallerAddress(): string;
   getState(): QuorumState;
   stop(): Promise<void>;
 }
 
-/** Times of the quorum, in ms: a leader's loss is felt for about a second. */
+/** Quorum timing, in ms: a failed leader is replaced within about 1 s. */
 const QUORUM_TIMING: QuorumTiming = {
   electionTimeoutMs: 500,
   electionJitterMs: 250,
@@ -106,42 +106,43 @@
   leaseMs: 400,
 };
 
-/** Ms since the last word of a leader for which gateways are sent to it. */
+/** Ms since the leader's last message for which gateways are redirected to it. */
 const LEADER_FRESH_MS = 1.5 * QUORUM_TIMING.heartbeatIntervalMs;
 
-/** Entries between two snapshots. */
+/** Log entries between two snapshots. */
 const SNAPSHOT_ENTRIES = 200;
 
-/** Ms between two looks at leases, gaps and members. */
+/** Ms between two rounds of the leader's periodic work. */
 const TICK_INTERVAL_MS = 250;
 
 /**
- * Ms for which a new leader takes no configuration while there are fewer
- * voters than the losses to be borne ask for. Afterwards it takes them all the
- * same: there may be no more disks.
+ * Ms for which a new leader accepts no configuration while there are fewer voters than
+ * the tolerated failures require. Afterwards it accepts them anyway: there may be no
+ * more processes with a disk.
  */
 const VOTERS_WAIT_MS = 10_000;
 
-/** Beats that an upstream may miss before it counts as lost. */
+/** Heartbeat timeout of an upstream, in heartbeat intervals. */
 const BEATS_OF_SILENCE = 2.6;
 
 /**
- * Intervals between beats without a beat of any upstream: less than the silence of one
- * by an interval, over which the last beats of all are spread.
+ * Heartbeat intervals without a heartbeat of any upstream after which the heartbeat
+ * clock pauses. One interval shorter than the heartbeat timeout, because the last
+ * heartbeats of all upstreams are spread over an interval.
  */
 const BEATS_OF_QUIET = 1.5;
 
-/** Ms in which gateways find a new leader that knows of none yet. */
+/** Ms within which all gateways connect to a new leader that knows none of them. */
 const GATEWAYS_SETTLE_MS = 2_000;
 
 /**
  * Starts a control process.
  *
- * @param settings - Its settings.
- * @param options - The seeds, logs, metrics, how orders are sent.
+ * @param settings - The settings of the process.
+ * @param options - The seeds, logs, metrics, and how layer orders are sent.
  * @returns The running process.
  * @throws {StorageOwnerError | StorageDamageError} When the data folder is
- * refused.
+ * rejected.
  * @example
  * const control = await startFleetControl(settings, options);
  */
@@ -150,8 +151,8 @@
   options: StartFleetControlOptions,
 ): Promise<FleetControl> {
   const { log, metrics } = options;
-  // What waits for others' silence counts by the steady clock, on which a suspended
-  // machine waits longer; only the lease ends with a suspension.
+  // Failure timeouts use the steady clock, which excludes suspensions of the machine;
+  // only the lease has to expire during a suspension.
   const now = () => performance.now();
   const { getWokeMs } = createElapsedClock({
     steadyNow: now,
@@ -161,14 +162,14 @@
   const storage = await openFleetStorage({ ...settings, seeds, log });
   const { replicaId } = storage.identity;
   let leadingSinceMs = Infinity;
-  // Times that this process came to lead, and the last of them in which it knew what
-  // earlier leaders had recorded.
+  // Number of times that this process became leader, and the last of them in which it
+  // has loaded what earlier leaders had recorded.
   let leadCount = 0;
   let informedLead = -1;
-  // Resolves once it knows that.
+  // Resolves once the recorded state is loaded.
   let addingRecorded = Promise.resolve();
   const leadsFor = (spanMs: number) => now() - leadingSinceMs >= spanMs;
-  // Without a lease no beat is taken, so silence says nothing then.
+  // Heartbeats are rejected without a lease, so that time does not count as silence.
   const listening = createListeningClock({
     now,
     lookIntervalMs: TICK_INTERVAL_MS,
@@ -181,8 +182,8 @@
 
   const history = createConfigHistory(options);
   const machine = createFleetMachine({ onChange: takeChange });
-  // Where replicas say that they are reached: one that starts without state
-  // knows no members, and answers and joins those who write to it.
+  // Addresses that replicas report in their messages: a replica that starts without
+  // state knows no members; it responds to, and joins, those that contact it.
   const senders = new Map<string, string>();
   const { replica, transport } = createReplicaHost({
     storage,
@@ -201,7 +202,7 @@
     metrics,
     now,
   });
-  // Decoded only where it is asked for: who follows needs none.
+  // Decoded on demand only: a follower does not need it.
   const getServices = () => {
     const accepted = machine.getAccepted();
     return accepted ? history.read(accepted.packed).services : [];
@@ -213,7 +214,7 @@
     quietMs: settings.beatIntervalMs * BEATS_OF_QUIET,
     now: listening.now,
     getLeave: machine.getLeave,
-    // Before the first configuration any may come to be.
+    // Before the first configuration any service name is accepted.
     isService(service) {
       const services = getServices();
       return services.length === 0 ||
@@ -238,7 +239,7 @@
   });
   const limits = createLimitDesk({
     publish: (limit) => sessions.publish({ type: "limits", limits: [limit] }),
-    // Processes that lead one after the other begin at different times.
+    // Successive leaders start at different times, so their versions differ.
     firstVersion: Date.now(),
     now,
     log,
@@ -246,8 +247,9 @@
   const sessions = createGatewaySessions({
     isLeader,
     hasLease: () => replica.hasLease(),
-    // A gateway that joins is told of upstreams at once and takes callers: one that
-    // came some ms after a new leader was told of none, and refused them.
+    // Waits for the recorded state: a joining gateway receives the upstreams at once and
+    // then accepts callers. One that joined some ms after a leader change received an
+    // empty list, and rejected its callers.
     async confirmRead() {
       await replica.confirmRead();
       await addingRecorded;
@@ -271,8 +273,8 @@
     log,
     metrics,
   });
-  // Orders and questions of the leader are no requests: a leave is news here, and a
-  // limit that is named, but not that none is.
+  // The leader's orders and polls are not requests, so the absence of a limit in their
+  // responses doesn't lift one; a leave or a named limit counts.
   function takeNotice(engineId: string, notice: EngineNotice): void {
     const { isLeaving, limitPerS = Infinity } = notice;
     if (isLeaving) void desk.noteLeaves([engineId]);
@@ -335,7 +337,7 @@
     log,
   });
   const rounds = createLeaderRounds({
-    // Before it knows what is recorded, it would record all of that as lost.
+    // Until the recorded state is loaded, all of it would be recorded as lost.
     isLeading: () => isLeader() && replica.hasLease() && knowsRecorded(),
     listening,
     listensFor,
@@ -357,7 +359,7 @@
       return quarantine.noteChange({ isLeader: isLeader() });
     }
     if (command.type === "leave") {
-      // Who does not lead keeps no registry; it asks the state when it leads.
+      // A follower keeps no registry; it reads the state machine when it is elected.
       if (isLeader()) registry.takeLeave(command.engineId, command.kind);
       return;
     }
@@ -383,13 +385,14 @@
     sessions.closeAll();
   }
 
-  // Only once its own term has committed has a leader applied all that counts.
+  // A leader has applied all committed entries only once an entry of its own term is
+  // committed.
   async function addRecorded(): Promise<void> {
     const lead = leadCount;
     try {
       await replica.confirmRead();
     } catch {
-      // It no longer leads: whoever does adds them.
+      // No longer the leader: the next one adds the recorded state.
       return;
     }
     const accepted = machine.getAccepted();
@@ -409,7 +412,7 @@
     return members.find((member) => member.id === leaderId);
   }
 
-  // One that has just ended would only be asked in vain.
+  // Redirecting gateways to a leader that has just failed would be useless.
   function hasHeardLeader(): boolean {
     const { leaderContactMs } = replica.getState();
     return now() - leaderContactMs < LEADER_FRESH_MS;
@@ -425,8 +428,8 @@
   }
 
   async function takeCall(json: string): Promise<FleetReply> {
-    // A call is passed on once: two processes that take each other for the
-    // leader must not send it to and fro.
+    // A call is forwarded only once: two processes that take each other for the leader
+    // must not forward it back and forth.
     if (isLeader()) return await desk.take(JSON.parse(json) as FleetCall);
     return { type: "unavailable", reason: "not the leader" };
   }
--- a/src/fleet/start_fleet_server.ts
+++ b/src/fleet/start_fleet_server.ts
@@ -1,5 +1,5 @@
 /**
- * The listener on which the system's own processes talk to a control process.
+ * The gRPC server on which the system's own processes reach a control process.
  *
  * @module
  */
@@ -8,21 +8,21 @@
 import { bindGrpc, CHANNEL_OPTIONS, wire } from "../wire/index.ts";
 import type { FleetReply } from "./messages.ts";
 
-/** Who answers what comes in. */
+/** Options of {@link startFleetServer}. */
 export interface StartFleetServerOptions {
   /** Host and port. */
   readonly address: string;
   readonly handleDeliver: wire.PeerServer["deliver"];
   readonly handleSession: wire.FleetServer["session"];
   readonly takeJoin: (request: wire.JoinRequest) => Promise<wire.JoinResponse>;
-  /** Answers a call, given as JSON text. */
+  /** Handles a call, given as JSON text. */
   readonly takeCall: (json: string) => Promise<FleetReply>;
 }
 
 /**
- * Starts the listener.
+ * Starts the server.
  *
- * @param options - Its address, and who answers.
+ * @param options - Its address and handlers.
  * @returns The server; `forceShutdown` ends it.
  * @throws {Error} When the address is taken.
  * @example
--- a/src/fleet/sum_loads.ts
+++ b/src/fleet/sum_loads.ts
@@ -1,5 +1,5 @@
 /**
- * Adds up the work in flight of gateways.
+ * Adds up the load that gateways have in flight.
  *
  * @module
  */
@@ -7,7 +7,7 @@
 import type { EngineLoads } from "./messages.ts";
 
 /**
- * Adds up loads by upstream.
+ * Adds up loads per upstream.
  *
  * @param all - The loads of several gateways.
  * @returns The sums.
@@ -28,11 +28,11 @@
 }
 
 /**
- * Takes one gateway's work out of a sum that it is part of.
+ * Subtracts one gateway's load from a sum that includes it.
  *
- * @param sum - The sum of all.
- * @param own - The part.
- * @returns What the others have in flight.
+ * @param sum - The load of all gateways.
+ * @param own - The gateway's own load.
+ * @returns The load of the other gateways.
  * @throws Nothing.
  * @example
  * const others = subtractLoads(sumLoads(all), own);
