--- a/src/engines/take_beat.ts
+++ b/src/engines/apply_heartbeat.ts
@@ -4,7 +4,11 @@
  * @module
  */
 
-import { getUpstreamName, isOfEarlierRun, noteRun } from "./newest_runs.ts";
+import {
+  getUpstreamName,
+  isOfEarlierRun,
+  noteRun,
+} from "./newest_incarnations.ts";
 import type {
   EngineBeat,
   EngineRecord,
@@ -14,7 +18,7 @@
 } from "./types.ts";
 
 /** Options of {@link takeBeat}. */
-export interface TakeBeatOptions {
+export interface ApplyHeartbeatOptions {
   /** Monotonic time, in ms. */
   readonly nowMs: number;
   /** The recorded leave of this upstream, if any. */
@@ -22,7 +26,7 @@
 }
 
 /** The registry after a heartbeat. */
-export interface TakenBeat {
+export interface AppliedHeartbeat {
   readonly state: RegistryState;
   /** The record to publish to gateways; undefined if nothing changed. */
   readonly changed: EngineRecord | undefined;
@@ -34,54 +38,54 @@
 const FIRST_SEQUENCE = 1;
 
 /** Ms after which a claim expires: several heartbeat intervals. */
-const CLAIM_AGE_MS = 10_000;
+const CLAIM_LIFETIME_MS = 10_000;
 
 /**
  * Ms between two heartbeats that prove that their sender is alive: heartbeats delayed by
  * a partition arrive together. Half of the shortest usual heartbeat interval.
  */
-const LEAST_BEAT_GAP_MS = 500;
+const MIN_HEARTBEAT_GAP_MS = 500;
 
 /**
  * Applies a heartbeat. A late one changes nothing, and a recorded leave holds whatever
  * the heartbeat reports.
  *
  * @param state - The registry.
- * @param beat - The heartbeat.
+ * @param heartbeat - The heartbeat.
  * @param options - The time and the recorded leave.
  * @returns The registry and what changed.
  * @throws Nothing.
  * @example
- * const { state, changed } = takeBeat(registry, beat, { nowMs });
+ * const { state, changed } = applyHeartbeat(registry, heartbeat, { nowMs });
  */
 export function takeBeat(
   state: RegistryState,
-  beat: EngineBeat,
-  options: TakeBeatOptions,
-): TakenBeat {
+  heartbeat: EngineBeat,
+  options: ApplyHeartbeatOptions,
+): AppliedHeartbeat {
   const { nowMs, leave } = options;
-  const known = state.engines.get(beat.engineId);
+  const known = state.engines.get(heartbeat.engineId);
   const unchanged = { state, changed: undefined, displacedIds: [] };
   if (leave === "gone") return unchanged;
-  if (isOfEarlierRun(beat, state.newestRuns)) return unchanged;
-  if (known && beat.sequence <= known.sequence) return unchanged;
-  const earlier = listEarlierRuns(state, beat);
-  const holder = known ? undefined : findHolder(state, beat);
+  if (isOfEarlierRun(heartbeat, state.newestRuns)) return unchanged;
+  if (known && heartbeat.sequence <= known.sequence) return unchanged;
+  const earlier = listEarlierIncarnations(state, heartbeat);
+  const holder = known ? undefined : findHolder(state, heartbeat);
   const isOther = holder && !earlier.includes(holder.record.engineId);
-  if (isOther && !winsAddress(state, beat, { holder, nowMs })) {
-    return { ...unchanged, state: noteClaim(state, beat, nowMs) };
+  if (isOther && !winsAddress(state, heartbeat, { holder, nowMs })) {
+    return { ...unchanged, state: recordClaim(state, heartbeat, nowMs) };
   }
-  const { sequence, ...told } = beat;
+  const { sequence, ...reported } = heartbeat;
   const slowness = known?.record.slowness;
   const record: EngineRecord = {
-    ...told,
-    isLeaving: beat.isLeaving || leave !== undefined,
+    ...reported,
+    isLeaving: heartbeat.isLeaving || leave !== undefined,
     ...(slowness === undefined ? {} : { slowness }),
   };
   const next: RegisteredEngine = { record, sequence, heardMs: nowMs };
-  const engines = new Map(state.engines).set(beat.engineId, next);
+  const engines = new Map(state.engines).set(heartbeat.engineId, next);
   const claims = new Map(state.claims);
-  claims.delete(beat.engineId);
+  claims.delete(heartbeat.engineId);
   const displacedIds = [
     ...earlier,
     ...(isOther ? [holder.record.engineId] : []),
@@ -96,13 +100,13 @@
 }
 
 // A lookup instead of a search: each of 600 engines sends a heartbeat every 1.2 s.
-function listEarlierRuns(
+function listEarlierIncarnations(
   { engines, newestRuns }: RegistryState,
-  beat: EngineBeat,
+  heartbeat: EngineBeat,
 ): string[] {
-  const newest = newestRuns?.get(getUpstreamName(beat));
+  const newest = newestRuns?.get(getUpstreamName(heartbeat));
   const isEarlier = newest !== undefined &&
-    newest.engineId !== beat.engineId && engines.has(newest.engineId);
+    newest.engineId !== heartbeat.engineId && engines.has(newest.engineId);
   return isEarlier ? [newest.engineId] : [];
 }
 
@@ -125,11 +129,11 @@
   if (sequence === FIRST_SEQUENCE) return true;
   const claim = state.claims?.get(engineId);
   return claim !== undefined && sequence > claim.sequence &&
-    nowMs - claim.heardMs >= LEAST_BEAT_GAP_MS &&
+    nowMs - claim.heardMs >= MIN_HEARTBEAT_GAP_MS &&
     holder.heardMs < claim.heardMs;
 }
 
-function noteClaim(
+function recordClaim(
   state: RegistryState,
   { engineId, sequence }: EngineBeat,
   nowMs: number,
@@ -137,7 +141,7 @@
   const known = state.claims?.get(engineId);
   if (known && sequence <= known.sequence) return state;
   const fresh = [...state.claims ?? []]
-    .filter(([, claim]) => nowMs - claim.heardMs < CLAIM_AGE_MS);
+    .filter(([, claim]) => nowMs - claim.heardMs < CLAIM_LIFETIME_MS);
   const claims = new Map(fresh).set(engineId, { sequence, heardMs: nowMs });
   return { ...state, claims };
 }
--- a/src/engines/create_beat_clock.ts
+++ b/src/engines/create_heartbeat_clock.ts
@@ -10,7 +10,7 @@
  */
 
 /** A clock that pauses while no heartbeat arrives. */
-export interface BeatClock {
+export interface HeartbeatClock {
   /** Ms for which heartbeats arrived; never decreases. */
   now(): number;
   /** Records a heartbeat of any upstream. */
@@ -18,7 +18,7 @@
 }
 
 /** Options of {@link createBeatClock}. */
-export interface CreateBeatClockOptions {
+export interface CreateHeartbeatClockOptions {
   /** Ms for which heartbeats could be received. */
   readonly now: () => number;
   /** Ms without any heartbeat after which the clock pauses. */
@@ -34,23 +34,25 @@
  * @returns The clock.
  * @throws Nothing.
  * @example
- * const beatClock = createBeatClock({ now, quietMs: 750, maxStandMs: 3_900 });
+ * const clock = createHeartbeatClock({ now, pauseAfterMs: 750, maxPauseMs: 3_900 });
  */
-export function createBeatClock(options: CreateBeatClockOptions): BeatClock {
+export function createBeatClock(
+  options: CreateHeartbeatClockOptions,
+): HeartbeatClock {
   const { now, quietMs, maxStandMs } = options;
-  let beatMs = now();
+  let lastHeartbeatMs = now();
   // Total duration of the pauses that had ended by the newest heartbeat.
-  let stoodMs = 0;
+  let totalPauseMs = 0;
 
-  function getStandMs(): number {
-    return Math.min(maxStandMs, Math.max(0, now() - beatMs - quietMs));
+  function getPauseMs(): number {
+    return Math.min(maxStandMs, Math.max(0, now() - lastHeartbeatMs - quietMs));
   }
 
   return {
-    now: () => now() - stoodMs - getStandMs(),
+    now: () => now() - totalPauseMs - getPauseMs(),
     noteBeat() {
-      stoodMs += getStandMs();
-      beatMs = now();
+      totalPauseMs += getPauseMs();
+      lastHeartbeatMs = now();
     },
   };
 }
--- a/src/engines/create_beat_clock_test.ts
+++ b/src/engines/create_heartbeat_clock_test.ts
@@ -1,6 +1,6 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { createBeatClock } from "./create_beat_clock.ts";
+import { createBeatClock } from "./create_heartbeat_clock.ts";
 
 function startClock() {
   let nowMs = 0;
@@ -9,33 +9,33 @@
     quietMs: 100,
     maxStandMs: 1_000,
   });
-  return { clock, pass: (ms: number) => void (nowMs += ms) };
+  return { clock, advance: (ms: number) => void (nowMs += ms) };
 }
 
 test("the clock runs while heartbeats arrive", () => {
-  const { clock, pass } = startClock();
+  const { clock, advance } = startClock();
   for (let beat = 0; beat < 10; beat++) {
-    pass(90);
+    advance(90);
     clock.noteBeat();
   }
   assert.is(clock.now(), 900);
 });
 
 test("the clock pauses while no heartbeat arrives, and resumes from there", () => {
-  const { clock, pass } = startClock();
-  pass(600);
+  const { clock, advance } = startClock();
+  advance(600);
   assert.is(clock.now(), 100);
   clock.noteBeat();
   assert.is(clock.now(), 100);
-  pass(50);
+  advance(50);
   assert.is(clock.now(), 150);
 });
 
 test("the clock goes on after the longest pause, as all upstreams may have failed", () => {
-  const { clock, pass } = startClock();
-  pass(1_100);
+  const { clock, advance } = startClock();
+  advance(1_100);
   assert.is(clock.now(), 100);
-  pass(300);
+  advance(300);
   assert.is(clock.now(), 400);
 });
 
--- a/src/engines/engines_test.ts
+++ b/src/engines/engines_test.ts
@@ -1,8 +1,8 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { makeBeat } from "../../test/support/make_beat.ts";
-import { removeSilent } from "./remove_silent.ts";
-import { takeBeat } from "./take_beat.ts";
+import { removeSilent } from "./remove_unresponsive.ts";
+import { takeBeat } from "./apply_heartbeat.ts";
 import type { RegistryState } from "./types.ts";
 
 const EMPTY: RegistryState = { engines: new Map() };
--- a/src/engines/index.ts
+++ b/src/engines/index.ts
@@ -4,8 +4,8 @@
  * @module
  */
 
-export * from "./create_beat_clock.ts";
-export * from "./newest_runs.ts";
-export * from "./remove_silent.ts";
-export * from "./take_beat.ts";
+export * from "./create_heartbeat_clock.ts";
+export * from "./newest_incarnations.ts";
+export * from "./remove_unresponsive.ts";
+export * from "./apply_heartbeat.ts";
 export * from "./types.ts";
--- a/src/engines/newest_runs.ts
+++ b/src/engines/newest_incarnations.ts
@@ -9,10 +9,10 @@
 import type { EngineRecord, NewestRuns } from "./types.ts";
 
 /** The fields of an incarnation that identify and order it. */
-type Run = Pick<EngineRecord, "engineId" | "name" | "startedMs">;
+type Incarnation = Pick<EngineRecord, "engineId" | "name" | "startedMs">;
 
 /** Upstreams whose newest incarnation is kept; the oldest entries are evicted first. */
-const MAX_RUNS = 5_000;
+const MAX_UPSTREAMS = 5_000;
 
 /**
  * Gets the name of an upstream, which is the same for all its incarnations.
@@ -24,7 +24,7 @@
  * getUpstreamName({ engineId: "e1@100", name: "e1" }); // "e1"
  */
 export function getUpstreamName(
-  { name, engineId }: Pick<Run, "name" | "engineId">,
+  { name, engineId }: Pick<Incarnation, "name" | "engineId">,
 ): string {
   return name ?? engineId;
 }
@@ -38,10 +38,10 @@
  * @returns Whether it is an older one.
  * @throws Nothing.
  * @example
- * if (isOfEarlierRun(beat, state.newestRuns)) return;
+ * if (isEarlierIncarnation(heartbeat, state.newestRuns)) return;
  */
 export function isOfEarlierRun(
-  run: Run,
+  run: Incarnation,
   newestRuns: NewestRuns = new Map(),
 ): boolean {
   const { startedMs } = run;
@@ -58,11 +58,11 @@
  * @returns The newest incarnations, updated.
  * @throws Nothing.
  * @example
- * const next = noteRun(newestRuns, record);
+ * const next = recordIncarnation(newestRuns, record);
  */
 export function noteRun(
   newestRuns: NewestRuns = new Map(),
-  run: Run,
+  run: Incarnation,
 ): NewestRuns {
   const { engineId, startedMs } = run;
   if (startedMs === undefined) return newestRuns;
@@ -72,6 +72,6 @@
   const next = new Map(newestRuns);
   next.delete(name);
   next.set(name, { engineId, startedMs });
-  forgetOldest(next, MAX_RUNS);
+  forgetOldest(next, MAX_UPSTREAMS);
   return next;
 }
--- a/src/engines/remove_silent.ts
+++ b/src/engines/remove_unresponsive.ts
@@ -7,7 +7,7 @@
 import type { RegistryState } from "./types.ts";
 
 /** Options of {@link removeSilent}. */
-export interface RemoveSilentOptions {
+export interface RemoveUnresponsiveOptions {
   /** Monotonic time, in ms. */
   readonly nowMs: number;
   /** Ms without a heartbeat after which an upstream counts as failed. */
@@ -22,11 +22,14 @@
  * @returns The registry without them, and their ids.
  * @throws Nothing.
  * @example
- * const { state, lost } = removeSilent(registry, { nowMs, silenceMs: 3_000 });
+ * const { state, lost } = removeUnresponsive(registry, {
+ *   nowMs,
+ *   heartbeatTimeoutMs: 3_000,
+ * });
  */
 export function removeSilent(
   state: RegistryState,
-  options: RemoveSilentOptions,
+  options: RemoveUnresponsiveOptions,
 ): { readonly state: RegistryState; readonly lost: readonly string[] } {
   const { nowMs, silenceMs } = options;
   const lost = [...state.engines]
--- a/src/fleet/create_leader_desk.ts
+++ b/src/fleet/create_leader_call_handler.ts
@@ -18,8 +18,8 @@
 import type { FleetCall, FleetReply } from "./messages.ts";
 import { unpackDocument } from "./pack_document.ts";
 
-/** Dependencies of {@link createLeaderDesk}. */
-export interface CreateLeaderDeskOptions {
+/** Dependencies of {@link createLeaderCallHandler}. */
+export interface CreateLeaderCallHandlerOptions {
   readonly machine: FleetMachine;
   readonly registry: EngineRegistry;
   readonly quarantine: Pick<QuarantineDesk, "list" | "lift">;
@@ -35,13 +35,13 @@
 }
 
 /** Handles calls on the leader. */
-export interface LeaderDesk {
-  take(call: FleetCall): Promise<FleetReply>;
+export interface LeaderCallHandler {
+  handle(call: FleetCall): Promise<FleetReply>;
   /**
    * Records that upstreams are leaving, as they announced in responses. Never
    * rejects: gateways report a leave until it is recorded.
    */
-  noteLeaves(engineIds: readonly string[]): Promise<void>;
+  recordLeaves(engineIds: readonly string[]): Promise<void>;
 }
 
 const DONE: FleetReply = { type: "done" };
@@ -53,14 +53,16 @@
  * @returns The handler.
  * @throws Nothing; a failed call resolves to an "unavailable" reply.
  * @example
- * const reply = await desk.take({ type: "readConfig" });
+ * const reply = await handler.handle({ type: "readConfig" });
  */
-export function createLeaderDesk(options: CreateLeaderDeskOptions): LeaderDesk {
+export function createLeaderCallHandler(
+  options: CreateLeaderCallHandlerOptions,
+): LeaderCallHandler {
   const { machine, registry, propose, log } = options;
   // Leaves being recorded: many gateways report the same one.
-  const proposed = new Set<string>();
+  const pendingLeaves = new Set<string>();
 
-  async function takeConfig(
+  async function handlePutConfig(
     call: FleetCall & { type: "putConfig" },
   ): Promise<FleetReply> {
     const { packed } = call;
@@ -71,8 +73,8 @@
       return { type: "invalid", problems };
     }
     const { version } = config;
-    const held = machine.getAccepted()?.version ?? -1;
-    if (version <= held) return DONE;
+    const acceptedVersion = machine.getAccepted()?.version ?? -1;
+    if (version <= acceptedVersion) return DONE;
     if (!options.hasEnoughVoters()) {
       return { type: "unavailable", reason: "too few voters" };
     }
@@ -80,7 +82,7 @@
     return DONE;
   }
 
-  async function readConfig(): Promise<FleetReply> {
+  async function handleReadConfig(): Promise<FleetReply> {
     await options.confirmRead();
     const accepted = machine.getAccepted();
     const document = accepted ? unpackDocument(accepted.packed) : null;
@@ -89,35 +91,35 @@
 
   // A leader whose disk is stalled does not notice that another one has been elected,
   // and heartbeats that it accepted would be missing there.
-  async function takeBeat(beat: EngineBeat): Promise<FleetReply> {
+  async function handleHeartbeat(heartbeat: EngineBeat): Promise<FleetReply> {
     if (!options.hasLease()) return { type: "unavailable", reason: "no lease" };
-    const { engineId } = beat;
+    const { engineId } = heartbeat;
     const leave = machine.getLeave(engineId);
-    const early = leave === undefined
-      ? machine.getLeave(getUpstreamName(beat))
+    const earlyLeave = leave === undefined
+      ? machine.getLeave(getUpstreamName(heartbeat))
       : undefined;
-    if (early !== undefined) await bindLeave(beat, early);
-    else if (beat.isLeaving && leave === undefined) {
+    if (earlyLeave !== undefined) await bindLeave(heartbeat, earlyLeave);
+    else if (heartbeat.isLeaving && leave === undefined) {
       await proposeLeave(engineId, "draining");
     }
-    registry.take(beat);
+    registry.take(heartbeat);
     return DONE;
   }
 
   // A leave recorded before any heartbeat, under the upstream's name, applies to the
   // first incarnation that sends one.
   async function bindLeave(
-    beat: EngineBeat,
+    heartbeat: EngineBeat,
     kind: LeaveKind,
   ): Promise<void> {
-    const { engineId } = beat;
-    const name = getUpstreamName(beat);
+    const { engineId } = heartbeat;
+    const name = getUpstreamName(heartbeat);
     await propose({ type: "leave", engineId, kind, name });
     log("engineLeaves", { engineId, kind });
   }
 
   // A leave names the upstream, not the incarnation: the newest one is meant.
-  async function takeLeave(name: string): Promise<FleetReply> {
+  async function handleLeave(name: string): Promise<FleetReply> {
     const engineId = registry.findRunId(name) ?? name;
     if (machine.getLeave(engineId) !== "gone") {
       await proposeLeave(engineId, "gone");
@@ -134,32 +136,32 @@
   }
 
   // Only for registered incarnations: a gateway's report may be about an earlier one.
-  function isLeaveNews(engineId: string): boolean {
-    return registry.hasRun(engineId) && !proposed.has(engineId) &&
+  function isNewLeave(engineId: string): boolean {
+    return registry.hasRun(engineId) && !pendingLeaves.has(engineId) &&
       machine.getLeave(engineId) === undefined;
   }
 
-  async function noteLeave(engineId: string): Promise<void> {
-    proposed.add(engineId);
+  async function recordLeave(engineId: string): Promise<void> {
+    pendingLeaves.add(engineId);
     try {
       await proposeLeave(engineId, "draining");
     } catch (error) {
       log("callFailed", { call: "leave", engineId, error });
     } finally {
-      proposed.delete(engineId);
+      pendingLeaves.delete(engineId);
     }
   }
 
-  async function answer(call: FleetCall): Promise<FleetReply> {
+  async function dispatch(call: FleetCall): Promise<FleetReply> {
     switch (call.type) {
       case "putConfig":
-        return await takeConfig(call);
+        return await handlePutConfig(call);
       case "readConfig":
-        return await readConfig();
+        return await handleReadConfig();
       case "beat":
-        return await takeBeat(call.beat);
+        return await handleHeartbeat(call.beat);
       case "leave":
-        return await takeLeave(call.engineId);
+        return await handleLeave(call.engineId);
       case "listCases":
         await options.confirmRead();
         return { type: "cases", cases: options.quarantine.list() };
@@ -170,12 +172,12 @@
   }
 
   return {
-    async noteLeaves(engineIds) {
-      await Promise.all(engineIds.filter(isLeaveNews).map(noteLeave));
+    async recordLeaves(engineIds) {
+      await Promise.all(engineIds.filter(isNewLeave).map(recordLeave));
     },
-    async take(call) {
+    async handle(call) {
       try {
-        return await answer(call);
+        return await dispatch(call);
       } catch (error) {
         log("callFailed", { call: call.type, error });
         return { type: "unavailable", reason: (error as Error).message };
--- a/src/fleet/create_leader_desk_test.ts
+++ b/src/fleet/create_leader_call_handler_test.ts
@@ -6,9 +6,9 @@
   createFleetMachine,
   type FleetCommand,
 } from "./create_fleet_machine.ts";
-import { createLeaderDesk } from "./create_leader_desk.ts";
+import { createLeaderCallHandler } from "./create_leader_call_handler.ts";
 
-function makeDesk(hasLease: () => boolean) {
+function makeHandler(hasLease: () => boolean) {
   const machine = createFleetMachine();
   const proposed: FleetCommand[] = [];
   const registry = createEngineRegistry({
@@ -18,7 +18,7 @@
     publish: () => {},
     log: () => {},
   });
-  const desk = createLeaderDesk({
+  const handler = createLeaderCallHandler({
     machine,
     registry,
     quarantine: { list: () => [], lift: () => Promise.resolve() },
@@ -37,33 +37,36 @@
     },
     log: () => {},
   });
-  return { desk, registry, machine, proposed };
+  return { handler, registry, machine, proposed };
 }
 
 test("a leader without a lease rejects heartbeats", async () => {
   let hasLease = false;
-  const { desk, registry } = makeDesk(() => hasLease);
+  const { handler, registry } = makeHandler(() => hasLease);
   const call = { type: "beat", beat: makeBeat() } as const;
-  assert.is((await desk.take(call)).type, "unavailable");
+  assert.is((await handler.handle(call)).type, "unavailable");
   assert.equal(registry.getRecords(), []);
   hasLease = true;
-  assert.is((await desk.take(call)).type, "done");
+  assert.is((await handler.handle(call)).type, "done");
   assert.is(registry.getRecords().length, 1);
 });
 
 test("a leave reported by gateways is recorded once, for a registered incarnation only", async () => {
-  const { desk, registry, machine, proposed } = makeDesk(() => true);
+  const { handler, registry, machine, proposed } = makeHandler(() => true);
   const beat = makeBeat();
   const { engineId } = beat;
-  await desk.noteLeaves([engineId]);
+  await handler.recordLeaves([engineId]);
   assert.equal(proposed, []);
-  await desk.take({ type: "beat", beat });
-  await Promise.all([desk.noteLeaves([engineId]), desk.noteLeaves([engineId])]);
-  await desk.noteLeaves([engineId, "unknown"]);
+  await handler.handle({ type: "beat", beat });
+  await Promise.all([
+    handler.recordLeaves([engineId]),
+    handler.recordLeaves([engineId]),
+  ]);
+  await handler.recordLeaves([engineId, "unknown"]);
   assert.equal(proposed, [{ type: "leave", engineId, kind: "draining" }]);
   assert.is(machine.getLeave(engineId), "draining");
   // A later heartbeat without the leaving flag does not undo the leave.
-  await desk.take({
+  await handler.handle({
     type: "beat",
     beat: { ...beat, sequence: beat.sequence + 1, isLeaving: false },
   });
--- a/src/fleet/create_leader_caller.ts
+++ b/src/fleet/create_leader_client.ts
@@ -13,12 +13,12 @@
 import type { FleetCall, FleetReply } from "./messages.ts";
 
 /** Forwards calls to the leader. */
-export interface LeaderCaller extends AsyncDisposable {
+export interface LeaderClient extends AsyncDisposable {
   call(address: string, call: FleetCall): Promise<FleetReply>;
 }
 
-/** Options of {@link createLeaderCaller}. */
-export interface CreateLeaderCallerOptions {
+/** Options of {@link createLeaderClient}. */
+export interface CreateLeaderClientOptions {
   /** Deadline of a call, in ms; callers try another process after 1 s. */
   readonly timeoutMs?: number;
 }
@@ -35,17 +35,17 @@
  * @example
  * const reply = await caller.call("10.0.0.4:7340", { type: "readConfig" });
  */
-export function createLeaderCaller(
-  options: CreateLeaderCallerOptions = {},
-): LeaderCaller {
+export function createLeaderClient(
+  options: CreateLeaderClientOptions = {},
+): LeaderClient {
   const { timeoutMs = CALL_TIMEOUT_MS } = options;
   let client: wire.FleetClient | undefined;
-  let connectedTo = "";
+  let connectedAddress = "";
 
   function connect(address: string): wire.FleetClient {
-    if (client && connectedTo === address) return client;
+    if (client && connectedAddress === address) return client;
     client?.close();
-    connectedTo = address;
+    connectedAddress = address;
     client = new wire.FleetClient(
       address,
       createClientCredentials(),
--- a/src/fleet/create_leader_rounds_test.ts
+++ b/src/fleet/create_leader_loop_test.ts
@@ -1,81 +1,81 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { createListeningClock, type ListeningClock } from "../clocks/index.ts";
-import { createLeaderRounds } from "./create_leader_rounds.ts";
+import { createLeaderLoop } from "./create_leader_loop.ts";
 
 /** Ms without a heartbeat after which an upstream counts as failed. */
-const SILENCE_MS = 3_000;
+const HEARTBEAT_TIMEOUT_MS = 3_000;
 
 /** Ms between two rounds. */
 const ROUND_MS = 250;
 
-function startRounds(
+function startLoop(
   options: {
     readonly isFirstStart: boolean;
     readonly listening?: Pick<ListeningClock, "look">;
   },
 ) {
   const calls: string[] = [];
-  const note = (name: string) => () => void calls.push(name);
-  const noteRun = (name: string) => () => {
+  const addCall = (name: string) => () => void calls.push(name);
+  const addAsyncCall = (name: string) => () => {
     calls.push(name);
     return Promise.resolve();
   };
   const state = { isLeading: true, ledMs: 0 };
-  const rounds = createLeaderRounds({
+  const loop = createLeaderLoop({
     isLeading: () => state.isLeading,
     listening: options.listening ?? { look: () => {} },
-    listensFor: (spanMs) => state.ledMs >= spanMs,
+    hasListenedFor: (spanMs) => state.ledMs >= spanMs,
     isFirstStart: options.isFirstStart,
     sessions: {
-      tick: note("sessions"),
-      publishLoads: note("loads"),
-      publishAllEngines: note("all engines"),
+      tick: addCall("sessions"),
+      publishLoads: addCall("loads"),
+      publishAllEngines: addCall("all engines"),
     },
     registry: {
-      tick: note("engines"),
+      tick: addCall("engines"),
       getRecords: () => [],
-      knowsAll: () => state.ledMs >= SILENCE_MS,
+      knowsAll: () => state.ledMs >= HEARTBEAT_TIMEOUT_MS,
     },
-    paces: { tick: noteRun("paces") },
+    paces: { tick: addAsyncCall("paces") },
     quarantine: { tick: () => {} },
-    recorders: [{ run: noteRun("recorder") }],
-    members: { look: () => {}, run: noteRun("members") },
-    keeper: { run: noteRun("layers") },
+    recorders: [{ run: addAsyncCall("recorder") }],
+    members: { observe: () => {}, run: addAsyncCall("members") },
+    layerManager: { run: addAsyncCall("layers") },
     log: () => {},
   });
-  return { rounds, calls, state };
+  return { loop, calls, state };
 }
 
 test("a new leader removes no engine and sends no layer order before it knows all engines", () => {
-  const { rounds, calls, state } = startRounds({ isFirstStart: false });
-  rounds.tick();
+  const { loop, calls, state } = startLoop({ isFirstStart: false });
+  loop.tick();
   assert.equal(calls.splice(0), ["sessions", "paces", "recorder"]);
-  state.ledMs = SILENCE_MS;
-  rounds.tick();
+  state.ledMs = HEARTBEAT_TIMEOUT_MS;
+  loop.tick();
   for (const name of ["loads", "engines", "all engines", "layers"]) {
     assert.ok(calls.includes(name));
   }
 });
 
 test("a new fleet's layers are placed at once, and the full engine list is published once", async () => {
-  const { rounds, calls, state } = startRounds({ isFirstStart: true });
-  rounds.tick();
+  const { loop, calls, state } = startLoop({ isFirstStart: true });
+  loop.tick();
   assert.ok(calls.includes("layers"));
   await Promise.resolve();
-  state.ledMs = SILENCE_MS;
-  rounds.tick();
-  rounds.tick();
+  state.ledMs = HEARTBEAT_TIMEOUT_MS;
+  loop.tick();
+  loop.tick();
   assert.is(calls.filter((name) => name === "all engines").length, 1);
-  rounds.reset();
-  rounds.tick();
+  loop.reset();
+  loop.tick();
   assert.is(calls.filter((name) => name === "all engines").length, 2);
 });
 
 test("a process that does not lead does nothing", () => {
-  const { rounds, calls, state } = startRounds({ isFirstStart: true });
+  const { loop, calls, state } = startLoop({ isFirstStart: true });
   state.isLeading = false;
-  rounds.tick();
+  loop.tick();
   assert.equal(calls, []);
 });
 
@@ -87,18 +87,18 @@
     now: () => nowMs,
     lookIntervalMs: ROUND_MS,
   });
-  const { rounds, state } = startRounds({ isFirstStart: false, listening });
-  const makeRounds = (count: number) => {
+  const { loop, state } = startLoop({ isFirstStart: false, listening });
+  const runRounds = (count: number) => {
     for (let round = 0; round < count; round++) {
       nowMs += ROUND_MS;
-      rounds.tick();
+      loop.tick();
     }
   };
-  makeRounds(4);
+  runRounds(4);
   state.isLeading = false;
-  makeRounds(20);
+  runRounds(20);
   state.isLeading = true;
-  makeRounds(4);
+  runRounds(4);
   // The first round after a change still counts by the state before it.
   assert.is(listening.now(), 8 * ROUND_MS);
 });
--- a/src/fleet/create_limit_desk.ts
+++ b/src/fleet/create_limit_desk.ts
@@ -32,7 +32,7 @@
 }
 
 /** Dependencies of {@link createLimitDesk}. */
-export interface CreateLimitDeskOptions {
+export interface CreateLimitCoordinatorOptions {
   /** Called with each limit that comes into force, changes or ends. */
   readonly publish: (limit: ToldLimit) => void;
   /**
@@ -69,14 +69,16 @@
  * @returns The coordinator.
  * @throws Nothing.
  * @example
- * const desk = createLimitDesk({ publish, firstVersion: Date.now(), now, log });
+ * const coordinator = createLimitCoordinator({ publish, firstVersion: Date.now(), now, log });
  */
-export function createLimitDesk(options: CreateLimitDeskOptions): LimitDesk {
+export function createLimitDesk(
+  options: CreateLimitCoordinatorOptions,
+): LimitDesk {
   const { publish, now, log } = options;
   const limits = new Map<string, Limit>();
   let nextVersion = options.firstVersion;
 
-  function put(engineId: string, limitPerS: number): ToldLimit {
+  function setLimit(engineId: string, limitPerS: number): ToldLimit {
     const version = nextVersion++;
     // The bucket starts empty: what was sent before is unknown.
     const bucket = limits.get(engineId)?.bucket ??
@@ -87,17 +89,17 @@
     return { engineId, limitPerS, version };
   }
 
-  function lift(engineId: string): ToldLimit {
+  function removeLimit(engineId: string): ToldLimit {
     limits.delete(engineId);
     return { engineId, limitPerS: null, version: nextVersion++ };
   }
 
-  function grantOne(engineId: string, asked: number): SendGrants[number] {
+  function grantOne(engineId: string, requested: number): SendGrants[number] {
     const limit = limits.get(engineId);
-    if (!limit) return { engineId, count: asked, retryAfterMs: 0 };
+    if (!limit) return { engineId, count: requested, retryAfterMs: 0 };
     const ratePerS = Math.max(PROBE_RATE_PER_S, limit.limitPerS);
     const burst = Math.max(1, BURST_S * ratePerS);
-    for (let count = 0; count < asked; count++) {
+    for (let count = 0; count < requested; count++) {
       const taken = takeToken(limit.bucket, { nowMs: now(), ratePerS, burst });
       limit.bucket = taken.bucket;
       if (!taken.admitted) {
@@ -105,7 +107,7 @@
         return { engineId, count, retryAfterMs };
       }
     }
-    return { engineId, count: asked, retryAfterMs: 0 };
+    return { engineId, count: requested, retryAfterMs: 0 };
   }
 
   return {
@@ -117,9 +119,11 @@
       // A limit is lifted or raised only by the response to a request whose sender
       // knew the limit: any other response may be older than the limit.
       if (limitPerS > knownPerS && knownVersion !== known?.version) return;
-      const told = reported === null ? lift(engineId) : put(engineId, reported);
-      log("limitInForce", { ...told });
-      publish(told);
+      const change = reported === null
+        ? removeLimit(engineId)
+        : setLimit(engineId, reported);
+      log("limitInForce", { ...change });
+      publish(change);
     },
     grant: (counts) =>
       Object.entries(counts).map(([engineId, count]) =>
--- a/src/fleet/create_loss_reports.ts
+++ b/src/fleet/create_loss_reports.ts
@@ -23,10 +23,10 @@
  * Gateways of one data centre that have to report an engine as failed before the
  * others there are notified: a single one may itself be partitioned.
  */
-const REPORTERS = 2;
+const MIN_REPORTERS = 2;
 
 /** Ms for which a report counts, and for which a notification isn't repeated. */
-const REPORT_MS = 2_000;
+const REPORT_LIFETIME_MS = 2_000;
 
 /**
  * Creates the collector, without reports.
@@ -35,42 +35,47 @@
  * @returns The collector.
  * @throws Nothing.
  * @example
- * const lost = reports.take({ vm, place, engineIds });
+ * const failed = collector.add({ vm, place, engineIds });
  */
 export function createLossReports(
   options: { readonly now: () => number },
 ): LossReports {
   const { now } = options;
   const reporters = new Map<string, Map<string, number>>();
-  const toldMs = new Map<string, number>();
+  const notifiedMs = new Map<string, number>();
 
   function isFresh(atMs: number): boolean {
-    return now() - atMs < REPORT_MS;
+    return now() - atMs < REPORT_LIFETIME_MS;
   }
 
-  function dropOld(): void {
+  function removeExpired(): void {
     for (const [key, byVm] of reporters) {
       if (![...byVm.values()].some(isFresh)) reporters.delete(key);
     }
-    for (const [key, atMs] of toldMs) {
-      if (!isFresh(atMs)) toldMs.delete(key);
+    for (const [key, atMs] of notifiedMs) {
+      if (!isFresh(atMs)) notifiedMs.delete(key);
     }
   }
 
-  function isNews(engineId: string, { vm, place }: LossReport): boolean {
+  function confirmFailure(
+    engineId: string,
+    { vm, place }: LossReport,
+  ): boolean {
     const key = `${place} ${engineId}`;
     const byVm = reporters.get(key) ?? new Map<string, number>();
     reporters.set(key, byVm.set(vm, now()));
     const count = [...byVm.values()].filter(isFresh).length;
-    if (count < REPORTERS || toldMs.has(key)) return false;
-    toldMs.set(key, now());
+    if (count < MIN_REPORTERS || notifiedMs.has(key)) return false;
+    notifiedMs.set(key, now());
     return true;
   }
 
   return {
     take(report) {
-      dropOld();
-      return report.engineIds.filter((engineId) => isNews(engineId, report));
+      removeExpired();
+      return report.engineIds.filter((engineId) =>
+        confirmFailure(engineId, report)
+      );
     },
   };
 }
--- a/src/fleet/create_member_keeper_test.ts
+++ b/src/fleet/create_membership_manager_test.ts
@@ -6,9 +6,9 @@
   type Member,
   type QuorumState,
 } from "../quorum/index.ts";
-import { createMemberKeeper } from "./create_member_keeper.ts";
+import { createMembershipManager } from "./create_membership_manager.ts";
 
-const SILENCE_MS = 2_500;
+const RESPONSE_TIMEOUT_MS = 2_500;
 
 const MEMBERS: readonly Member[] = ["a", "b", "c", "d"].map((id) => ({
   id,
@@ -17,11 +17,11 @@
   role: id === "d" ? "learner" : "voter",
 }));
 
-function startKeeper() {
+function startManager() {
   let listenedMs = 0;
   let ackedSentMs = 1_000;
   const changes: (readonly Member[])[] = [];
-  const answering = new Set(MEMBERS.map(({ id }) => id));
+  const responding = new Set(MEMBERS.map(({ id }) => id));
   const peers: Record<string, QuorumState["peers"][string]> = {};
   const timing = {
     electionTimeoutMs: 500,
@@ -49,22 +49,22 @@
       return Promise.resolve();
     },
   };
-  const keeper = createMemberKeeper({
+  const manager = createMembershipManager({
     replica: replica as Replica,
     voters: 3,
-    silenceMs: SILENCE_MS,
+    responseTimeoutMs: RESPONSE_TIMEOUT_MS,
     now: () => listenedMs,
     log: () => {},
   });
   return {
-    keeper,
-    answering,
+    manager,
+    responding,
     changes,
     /** Advances time; the leader was able to receive responses for a part of it. */
-    async pass(ms: number, heardMs = ms) {
+    async advance(ms: number, listeningMs = ms) {
       ackedSentMs += ms;
-      listenedMs += heardMs;
-      for (const id of answering) {
+      listenedMs += listeningMs;
+      for (const id of responding) {
         peers[id] = {
           nextIndex: 2,
           matchIndex: 1,
@@ -72,28 +72,28 @@
           snapshotSentMs: 0,
         };
       }
-      keeper.look();
-      await keeper.run();
+      manager.observe();
+      await manager.run();
     },
   };
 }
 
 test("a voter that stays unresponsive is replaced", async () => {
-  const { answering, changes, pass } = startKeeper();
-  await pass(0);
-  answering.delete("b");
-  await pass(SILENCE_MS);
+  const { responding, changes, advance } = startManager();
+  await advance(0);
+  responding.delete("b");
+  await advance(RESPONSE_TIMEOUT_MS);
   assert.equal(changes, []);
-  await pass(100);
+  await advance(100);
   assert.equal(changes.map((members) => members[3].role), ["voter"]);
 });
 
 // A leader that had been suspended replaced voters whose responses it had not read yet.
 test("a voter whose responses this leader could not receive is kept", async () => {
-  const { answering, changes, pass } = startKeeper();
-  await pass(0);
-  answering.delete("b");
-  await pass(60_000, 100);
+  const { responding, changes, advance } = startManager();
+  await advance(0);
+  responding.delete("b");
+  await advance(60_000, 100);
   assert.equal(changes, []);
 });
 
--- a/src/fleet/create_pace_watch.ts
+++ b/src/fleet/create_pace_watch.ts
@@ -19,8 +19,8 @@
   options: EngineCallOptions,
 ) => Promise<number>;
 
-/** Dependencies of {@link createPaceWatch}. */
-export interface CreatePaceWatchOptions {
+/** Dependencies of {@link createPaceMonitor}. */
+export interface CreatePaceMonitorOptions {
   /** Engines of pipelines, where a request passes through several of them. */
   readonly getEngines: () => readonly EngineRecord[];
   readonly readPace: ReadPace;
@@ -32,9 +32,9 @@
 }
 
 /** Polls engines for their slowness. */
-export interface PaceWatch {
+export interface PaceMonitor {
   /** Records a gateway's report of the engines over which slow streams run. */
-  noteSlow(engineIds: readonly string[]): void;
+  recordSlow(engineIds: readonly string[]): void;
   /** Polls engines, if a round is due. */
   tick(): Promise<void>;
 }
@@ -43,7 +43,7 @@
 const ROUND_INTERVAL_MS = 900;
 
 /** Ms for which a report of slow streams counts. */
-const WATCH_MS = 2_500;
+const REPORT_LIFETIME_MS = 2_500;
 
 /**
  * Maximum number of engines polled per round. With hundreds of gateways there is always
@@ -51,15 +51,15 @@
  * reported by most of them. Polling all of 216 engines in each round would be a
  * constant 240 calls per second.
  */
-const MAX_ASKED = 16;
+const MAX_POLLED = 16;
 
 /** Reports, of several gateways or of one, that have to name an engine to poll it. */
-const LEAST_NAMINGS = 2;
+const MIN_REPORTS = 2;
 
 /** Deadline of a poll, in ms. */
-const TIMEOUT_MS = 500;
+const POLL_TIMEOUT_MS = 500;
 
-interface Naming {
+interface SlowReport {
   readonly atMs: number;
   readonly engineIds: readonly string[];
 }
@@ -72,18 +72,20 @@
  * @returns The monitor.
  * @throws Nothing.
  * @example
- * const watch = createPaceWatch(options);
+ * const monitor = createPaceMonitor(options);
  */
-export function createPaceWatch(options: CreatePaceWatchOptions): PaceWatch {
+export function createPaceMonitor(
+  options: CreatePaceMonitorOptions,
+): PaceMonitor {
   const { now, onNotice = () => {} } = options;
-  let namings: Naming[] = [];
-  let askedMs = -Infinity;
+  let slowReports: SlowReport[] = [];
+  let lastRoundMs = -Infinity;
 
-  async function ask(engine: EngineRecord): Promise<void> {
+  async function poll(engine: EngineRecord): Promise<void> {
     const { address, engineId } = engine;
     try {
       const pace = await options.readPace(address, {
-        timeoutMs: TIMEOUT_MS,
+        timeoutMs: POLL_TIMEOUT_MS,
         onNotice: (notice) => onNotice(engineId, notice),
       });
       options.onPace(engineId, pace);
@@ -92,36 +94,38 @@
     }
   }
 
-  function countNamings(): Map<string, number> {
-    namings = namings.filter(({ atMs }) => now() - atMs < WATCH_MS);
+  function countReports(): Map<string, number> {
+    slowReports = slowReports.filter(({ atMs }) =>
+      now() - atMs < REPORT_LIFETIME_MS
+    );
     const counts = new Map<string, number>();
-    for (const engineId of namings.flatMap((one) => one.engineIds)) {
+    for (const engineId of slowReports.flatMap((one) => one.engineIds)) {
       counts.set(engineId, (counts.get(engineId) ?? 0) + 1);
     }
     return counts;
   }
 
   // Engines known to be slow first, then those with the most reports.
-  function listAsked(): EngineRecord[] {
-    const counts = countNamings();
+  function listEnginesToPoll(): EngineRecord[] {
+    const counts = countReports();
     const rank = ({ engineId, slowness }: EngineRecord) =>
       slowness === undefined ? counts.get(engineId) ?? 0 : Infinity;
     return options.getEngines()
-      .filter((engine) => rank(engine) >= LEAST_NAMINGS)
+      .filter((engine) => rank(engine) >= MIN_REPORTS)
       .sort((a, b) => rank(b) === rank(a) ? 0 : rank(b) - rank(a))
-      .slice(0, MAX_ASKED);
+      .slice(0, MAX_POLLED);
   }
 
   return {
-    noteSlow(engineIds) {
-      if (engineIds.length > 0) namings.push({ atMs: now(), engineIds });
+    recordSlow(engineIds) {
+      if (engineIds.length > 0) slowReports.push({ atMs: now(), engineIds });
     },
     async tick() {
-      if (now() - askedMs < ROUND_INTERVAL_MS) return;
-      const asked = listAsked();
-      if (asked.length === 0) return;
-      askedMs = now();
-      await Promise.all(asked.map(ask));
+      if (now() - lastRoundMs < ROUND_INTERVAL_MS) return;
+      const polled = listEnginesToPoll();
+      if (polled.length === 0) return;
+      lastRoundMs = now();
+      await Promise.all(polled.map(poll));
     },
   };
 }
--- a/src/fleet/create_pace_watch_test.ts
+++ b/src/fleet/create_pace_watch_test.ts
@@ -1,11 +1,11 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import type { EngineRecord } from "../engines/index.ts";
-import { createPaceWatch } from "./create_pace_watch.ts";
+import { createPaceMonitor } from "./create_pace_watch.ts";
 
 const ENGINES = 216;
 
-function startWatch() {
+function startMonitor() {
   const clock = { nowMs: 0 };
   const asked: string[] = [];
   const engines: EngineRecord[] = Array.from({ length: ENGINES }, (_, at) => ({
@@ -16,7 +16,7 @@
     slots: 134,
     isLeaving: false,
   }));
-  const watch = createPaceWatch({
+  const watch = createPaceMonitor({
     getEngines: () => engines,
     readPace: (address) => {
       asked.push(address);
@@ -33,28 +33,28 @@
 }
 
 test("without slow streams no engine is polled", async () => {
-  const { watch, asked } = startWatch();
-  watch.noteSlow([]);
+  const { watch, asked } = startMonitor();
+  watch.recordSlow([]);
   await watch.tick();
   assert.equal(asked, []);
 });
 
 test("of 216 engines only those named in several reports are polled", async () => {
-  const { watch, asked } = startWatch();
-  watch.noteSlow(["e3", "e7", "e9"]);
+  const { watch, asked } = startMonitor();
+  watch.recordSlow(["e3", "e7", "e9"]);
   await watch.tick();
   assert.equal(asked, []);
-  watch.noteSlow(["e3", "e7"]);
+  watch.recordSlow(["e3", "e7"]);
   await watch.tick();
   assert.equal([...asked].sort(), ["e3", "e7"]);
 });
 
 test("if all of 216 engines are reported, the one with the most reports is polled", async () => {
-  const { watch, asked } = startWatch();
+  const { watch, asked } = startMonitor();
   for (let at = 0; at < 200; at++) {
     // Each stream is slow for a reason of its own; one in five runs over the slow engine.
     const path = [0, 1, 2, 3].map((part) => `e${(at * 13 + part * 54) % 216}`);
-    watch.noteSlow(at % 5 === 0 ? [...path, "e7"] : path);
+    watch.recordSlow(at % 5 === 0 ? [...path, "e7"] : path);
   }
   await watch.tick();
   assert.ok(asked.includes("e7"));
@@ -62,9 +62,9 @@
 });
 
 test("an engine known to be slow is polled until it has recovered", async () => {
-  const { watch, clock, asked } = startWatch();
-  watch.noteSlow(["e7"]);
-  watch.noteSlow(["e7"]);
+  const { watch, clock, asked } = startMonitor();
+  watch.recordSlow(["e7"]);
+  watch.recordSlow(["e7"]);
   await watch.tick();
   clock.nowMs = 60_000;
   asked.length = 0;
--- a/src/fleet/create_quarantine_desk.ts
+++ b/src/fleet/create_quarantine_desk.ts
@@ -23,20 +23,20 @@
 
 type CasesMessage = LeaderMessage & { type: "cases" };
 
-/** Dependencies of {@link createQuarantineDesk}. */
-export interface CreateQuarantineDeskOptions {
+/** Dependencies of {@link createQuarantineCoordinator}. */
+export interface CreateQuarantineCoordinatorOptions {
   readonly getCases: () => CrashCases;
   /** Resolves once the command is committed and applied. */
   readonly propose: (command: FleetCommand) => Promise<unknown>;
   /** Sends a message to all gateways. */
-  readonly publish: (message: CasesMessage) => void;
+  readonly publish: (described: CasesMessage) => void;
   /** Monotonic time, in ms. */
   readonly now: () => number;
   readonly log: Logger;
 }
 
 /** A gateway's reports on suspected requests. */
-export interface QuarantineNews {
+export interface QuarantineReports {
   readonly crashes?: readonly CrashReport[];
   readonly proved?: readonly string[];
   readonly trialsEnded?: readonly string[];
@@ -45,7 +45,7 @@
 /** The leader's part of the quarantine. */
 export interface QuarantineDesk {
   /** Handles a gateway's reports. */
-  take(vm: string, news: QuarantineNews): void;
+  take(vm: string, news: QuarantineReports): void;
   /** Grants a trial run: returns the upstream where the request may start, if any. */
   grantTrial(vm: string, wish: TrialWish): string | undefined;
   /** All cases, for operators and for gateways that join. */
@@ -53,7 +53,7 @@
   /** Clears the case of a request. */
   lift(requestKey: string): Promise<void>;
   /** Called on every replica after each change of the cases. */
-  noteChange(options: { readonly isLeader: boolean }): void;
+  handleChange(options: { readonly isLeader: boolean }): void;
   /** Clears expired cases; for the leader only. */
   tick(): void;
 }
@@ -66,7 +66,7 @@
 }
 
 /** Ms for which reports are batched into one log entry. */
-const GATHER_MS = 3;
+const BATCH_MS = 3;
 
 /**
  * Creates the coordinator. Times count from when this process first saw a change: a
@@ -76,37 +76,37 @@
  * @returns The coordinator.
  * @throws Nothing.
  * @example
- * const desk = createQuarantineDesk({ getCases, propose, publish, now, log });
+ * const coordinator = createQuarantineCoordinator({ getCases, propose, publish, now, log });
  */
-export function createQuarantineDesk(
-  options: CreateQuarantineDeskOptions,
+export function createQuarantineCoordinator(
+  options: CreateQuarantineCoordinatorOptions,
 ): QuarantineDesk {
   const { getCases, propose, now, log } = options;
   const trials = new Map<string, Trial>();
-  const seen = new Map<
+  const trackedCases = new Map<
     string,
     { readonly crashCase: CrashCase; readonly changedMs: number }
   >();
-  let told: CrashCases = new Map();
-  let reports: JudgedReport[] = [];
-  let clearing = new Set<string>();
-  let gathering: ReturnType<typeof setTimeout> | undefined;
-
-  function gather(): void {
-    gathering ??= setTimeout(() => {
-      gathering = undefined;
-      const requestKeys = [...clearing];
-      const taken = reports;
-      reports = [];
-      clearing = new Set();
-      if (taken.length > 0) change({ type: "crashes", reports: taken });
-      if (requestKeys.length > 0) change({ type: "casesCleared", requestKeys });
-    }, GATHER_MS);
+  let published: CrashCases = new Map();
+  let pendingReports: JudgedReport[] = [];
+  let pendingClears = new Set<string>();
+  let batchTimer: ReturnType<typeof setTimeout> | undefined;
+
+  function scheduleBatch(): void {
+    batchTimer ??= setTimeout(() => {
+      batchTimer = undefined;
+      const requestKeys = [...pendingClears];
+      const taken = pendingReports;
+      pendingReports = [];
+      pendingClears = new Set();
+      if (taken.length > 0) submit({ type: "crashes", reports: taken });
+      if (requestKeys.length > 0) submit({ type: "casesCleared", requestKeys });
+    }, BATCH_MS);
   }
 
   // A failed proposal needs no retry: gateways repeat reports that the published
   // cases don't reflect.
-  function change(command: FleetCommand): void {
+  function submit(command: FleetCommand): void {
     propose(command).catch((error) => log("casesNotRecorded", { error }));
   }
 
@@ -114,7 +114,7 @@
     return [...trials].find(([, trial]) => trial.engineId === engineId);
   }
 
-  function dropEndedTrials(): void {
+  function removeEndedTrials(): void {
     for (const [key, trial] of trials) {
       if (now() >= trial.untilMs || !getCases().has(key)) trials.delete(key);
     }
@@ -122,7 +122,7 @@
 
   // A crash during a trial run counts against that request only, not against the
   // requests that ran on the upstream at the same time.
-  function takeReport(vm: string, report: CrashReport): void {
+  function handleCrashReport(vm: string, report: CrashReport): void {
     const { requestKey, engineId } = report;
     const cases = getCases();
     if (cases.get(requestKey)?.engineIds.includes(engineId)) return;
@@ -130,26 +130,26 @@
     const [key, trial] = findTrial(engineId) ?? [];
     if (key !== undefined && key !== requestKey) return;
     const isTrial = trial?.vm === vm;
-    const isKnown = reports.some((one) =>
+    const isKnown = pendingReports.some((one) =>
       one.requestKey === requestKey && one.engineId === engineId
     );
-    if (!isKnown) reports.push({ ...report, isTrial });
+    if (!isKnown) pendingReports.push({ ...report, isTrial });
   }
 
-  function look(): void {
+  function trackChanges(): void {
     const cases = getCases();
-    for (const key of seen.keys()) {
-      if (!cases.has(key)) seen.delete(key);
+    for (const key of trackedCases.keys()) {
+      if (!cases.has(key)) trackedCases.delete(key);
     }
     for (const [key, crashCase] of cases) {
-      if (seen.get(key)?.crashCase !== crashCase) {
-        seen.set(key, { crashCase, changedMs: now() });
+      if (trackedCases.get(key)?.crashCase !== crashCase) {
+        trackedCases.set(key, { crashCase, changedMs: now() });
       }
     }
   }
 
   function getAgeMs(requestKey: string): number {
-    return now() - (seen.get(requestKey)?.changedMs ?? now());
+    return now() - (trackedCases.get(requestKey)?.changedMs ?? now());
   }
 
   function getHeldMs({ requestKey, convictions }: CrashCase): number {
@@ -163,17 +163,17 @@
   }
 
   function list(): ToldCase[] {
-    look();
+    trackChanges();
     return [...getCases().values()].map(describe);
   }
 
-  function tellChange(): void {
+  function publishChanges(): void {
     const cases = getCases();
     const changed = [...cases.values()]
-      .filter((one) => told.get(one.requestKey) !== one);
-    const cleared = [...told.keys()].filter((key) => !cases.has(key));
+      .filter((one) => published.get(one.requestKey) !== one);
+    const cleared = [...published.keys()].filter((key) => !cases.has(key));
     changed.filter(isNewConviction).forEach(logConviction);
-    told = cases;
+    published = cases;
     if (changed.length + cleared.length === 0) return;
     const message = changed.map(describe);
     options.publish({
@@ -184,7 +184,7 @@
   }
 
   function isNewConviction({ requestKey, convictions }: CrashCase): boolean {
-    return convictions > (told.get(requestKey)?.convictions ?? 0);
+    return convictions > (published.get(requestKey)?.convictions ?? 0);
   }
 
   function logConviction(crashCase: CrashCase): void {
@@ -201,18 +201,18 @@
 
   return {
     take(vm, { crashes = [], proved = [], trialsEnded = [] }) {
-      dropEndedTrials();
+      removeEndedTrials();
       // Crash reports first: a crash must still be matched with its trial run before
       // the end of the trial is handled.
-      for (const report of crashes) takeReport(vm, report);
+      for (const report of crashes) handleCrashReport(vm, report);
       for (const key of trialsEnded) {
         if (trials.get(key)?.vm === vm) trials.delete(key);
       }
-      for (const key of proved) if (getCases().has(key)) clearing.add(key);
-      if (reports.length + clearing.size > 0) gather();
+      for (const key of proved) if (getCases().has(key)) pendingClears.add(key);
+      if (pendingReports.length + pendingClears.size > 0) scheduleBatch();
     },
     grantTrial(vm, { requestKey, engineIds }) {
-      dropEndedTrials();
+      removeEndedTrials();
       const crashCase = getCases().get(requestKey);
       if (!crashCase || !needsTrial(crashCase)) return undefined;
       if (getHeldMs(crashCase) > 0) return undefined;
@@ -233,17 +233,17 @@
       await propose({ type: "casesCleared", requestKeys: [requestKey] });
       log("casesCleared", { requestKeys: [requestKey], reason: "lifted" });
     },
-    noteChange({ isLeader }) {
-      look();
-      if (isLeader) tellChange();
+    handleChange({ isLeader }) {
+      trackChanges();
+      if (isLeader) publishChanges();
     },
     tick() {
-      look();
+      trackChanges();
       const old = [...getCases().values()].filter(isOld);
       if (old.length === 0) return;
       const requestKeys = old.map((one) => one.requestKey);
       log("casesCleared", { requestKeys, reason: "old" });
-      change({ type: "casesCleared", requestKeys });
+      submit({ type: "casesCleared", requestKeys });
     },
   };
 }
--- a/src/fleet/create_repeat_lender.ts
+++ b/src/fleet/create_repeat_lender.ts
@@ -11,7 +11,7 @@
  */
 
 /** The fleet-wide retry budget. */
-export interface RepeatBounds {
+export interface FleetRetryBudget {
   /** Retries that all gateways together may make in each window. */
   readonly extra: number;
   /** Length of the window, in ms. */
@@ -19,7 +19,7 @@
 }
 
 /** Options of {@link createRepeatLender}. */
-export interface CreateRepeatLenderOptions extends RepeatBounds {
+export interface CreateRetryLenderOptions extends FleetRetryBudget {
   /**
    * Ms for which this process has been the leader. The loans of an earlier leader are
    * unknown, so nothing is lent before they have expired.
@@ -30,7 +30,7 @@
 }
 
 /** Lends retries to gateways. */
-export interface RepeatLender {
+export interface RetryLender {
   /** Lends as many of the wanted retries as are left; 0 if none are. */
   lend(service: string, wanted: number): number;
 }
@@ -39,7 +39,7 @@
  * Share of the retry budget that is lent. It is small because nothing is lent for 12 s
  * after a leader change, and a large failure needs retries at all gateways at once.
  */
-export const LENT_SHARE = 0.2;
+export const LENDABLE_SHARE = 0.2;
 
 /** Share of the retry budget that gateways have locally, without asking the leader. */
 export const OWN_EXTRA_SHARE = 0.72;
@@ -67,8 +67,8 @@
  * const lent = lender.lend("advisor", 4);
  */
 export function createRepeatLender(
-  options: CreateRepeatLenderOptions,
-): RepeatLender {
+  options: CreateRetryLenderOptions,
+): RetryLender {
   const { now } = options;
   const spanMs = options.windowMs + LOAN_MS;
   const loans = new Map<string, Loan[]>();
@@ -76,13 +76,13 @@
     lend(service, wanted) {
       if (options.getLeadsForMs() < spanMs) return 0;
       const sinceMs = now() - spanMs;
-      const fresh = (loans.get(service) ?? [])
+      const recentLoans = (loans.get(service) ?? [])
         .filter(({ atMs }) => atMs >= sinceMs);
-      const lent = fresh.reduce((sum, { count }) => sum + count, 0);
-      const left = Math.floor(LENT_SHARE * options.extra - lent);
+      const lent = recentLoans.reduce((sum, { count }) => sum + count, 0);
+      const left = Math.floor(LENDABLE_SHARE * options.extra - lent);
       const count = Math.max(0, Math.min(wanted, left));
-      if (count > 0) fresh.push({ atMs: now(), count });
-      loans.set(service, fresh);
+      if (count > 0) recentLoans.push({ atMs: now(), count });
+      loans.set(service, recentLoans);
       return count;
     },
   };
--- a/src/fleet/create_rollout_watch.ts
+++ b/src/fleet/create_rollout_watch.ts
@@ -9,7 +9,7 @@
 import type { Metrics } from "../metrics/index.ts";
 
 /** Dependencies of {@link createRolloutWatch}. */
-export interface CreateRolloutWatchOptions {
+export interface CreateRolloutTrackerOptions {
   /** Monotonic time, in ms. */
   readonly now: () => number;
   readonly log: Logger;
@@ -17,7 +17,7 @@
 }
 
 /** Tracks the rollout of the newest configuration. */
-export interface RolloutWatch {
+export interface RolloutTracker {
   /** Records that a version was accepted; earlier ones are no longer tracked. */
   noteAccepted(version: number): void;
   /** Records the version in force at a gateway. */
@@ -37,32 +37,32 @@
  * @returns The tracker, without a version.
  * @throws Nothing.
  * @example
- * const rollout = createRolloutWatch({ now, log, metrics });
+ * const rollout = createRolloutTracker({ now, log, metrics });
  */
 export function createRolloutWatch(
-  options: CreateRolloutWatchOptions,
-): RolloutWatch {
+  options: CreateRolloutTrackerOptions,
+): RolloutTracker {
   const { now, log, metrics } = options;
-  const held = new Map<string, number>();
+  const appliedVersions = new Map<string, number>();
   let newest = -1;
   let acceptedMs = now();
   let isInForce = true;
 
   function listLagging(): string[] {
-    return [...held]
+    return [...appliedVersions]
       .filter(([, version]) => version < newest)
       .map(([vm]) => vm);
   }
 
   function checkInForce(lastVm: string): void {
-    if (isInForce || held.size === 0) return;
+    if (isInForce || appliedVersions.size === 0) return;
     const lagging = listLagging();
     metrics.gauge("config.lagging", lagging.length);
     if (lagging.length > 0) return;
     isInForce = true;
     const tookMs = Math.round(now() - acceptedMs);
     metrics.timing("config.rollout_ms", tookMs);
-    const gateways = held.size;
+    const gateways = appliedVersions.size;
     log("configInForce", { version: newest, tookMs, gateways, lastVm });
   }
 
@@ -73,11 +73,11 @@
       isInForce = false;
     },
     noteHeld(vm, version) {
-      held.set(vm, version);
+      appliedVersions.set(vm, version);
       checkInForce(vm);
     },
     forget(vm) {
-      if (held.delete(vm)) checkInForce(vm);
+      if (appliedVersions.delete(vm)) checkInForce(vm);
     },
     getAgeMs: () => now() - acceptedMs,
     listLagging,
--- a/src/fleet/create_written_news.ts
+++ b/src/fleet/create_written_news.ts
@@ -19,7 +19,7 @@
 } from "./session_messages.ts";
 
 /** Dependencies of {@link createWrittenNews}. */
-export interface CreateWrittenNewsOptions {
+export interface CreateSessionCodecOptions {
   readonly getEngines: () => readonly EngineRecord[];
   /** Whether the list is known to be complete. */
   readonly knowsAllEngines: () => boolean;
@@ -29,7 +29,7 @@
 }
 
 /** Encodes and decodes the messages of gateway sessions. */
-export interface WrittenNews {
+export interface SessionCodec {
   format(message: LeaderMessage): wire.FleetMessage;
   parse(received: wire.FleetMessage): GatewayMessage;
   /** Encodes an accepted configuration, as a change if that is known and shorter. */
@@ -51,13 +51,13 @@
  * @returns The codec.
  * @throws Nothing.
  * @example
- * stream.write(news.formatEngines());
+ * stream.write(codec.formatEngines());
  */
 export function createWrittenNews(
-  options: CreateWrittenNewsOptions,
-): WrittenNews {
+  options: CreateSessionCodecOptions,
+): SessionCodec {
   const numbers = createEngineNumbers();
-  let list: { isWhole: boolean; message: wire.FleetMessage } | undefined;
+  let engineList: { isWhole: boolean; message: wire.FleetMessage } | undefined;
 
   function format(message: LeaderMessage): wire.FleetMessage {
     return formatLeaderMessage(message, numbers);
@@ -71,15 +71,15 @@
     formatConfig: configMessages.get,
     formatEngines() {
       const isWhole = options.knowsAllEngines();
-      if (list?.isWhole !== isWhole) {
+      if (engineList?.isWhole !== isWhole) {
         const engines = options.getEngines();
         const message = format({ type: "engines", isWhole, engines, gone: [] });
-        list = { isWhole, message };
+        engineList = { isWhole, message };
       }
-      return list.message;
+      return engineList.message;
     },
     forgetEngines() {
-      list = undefined;
+      engineList = undefined;
     },
   };
 }
--- a/src/fleet/fleet_parts_test.ts
+++ b/src/fleet/fleet_parts_test.ts
@@ -35,10 +35,10 @@
 });
 
 test("a lower or equal version that is applied later does not replace the highest", () => {
-  const told: number[] = [];
+  const accepted: number[] = [];
   const machine = createFleetMachine({
     onChange: (command) => {
-      if (command.type === "putConfig") told.push(command.version);
+      if (command.type === "putConfig") accepted.push(command.version);
     },
   });
   apply(
@@ -49,7 +49,7 @@
     putConfig(7, "other seven"),
   );
   assert.is(machine.getAccepted()?.packed, "seven");
-  assert.equal(told, [3, 7]);
+  assert.equal(accepted, [3, 7]);
 });
 
 test("a leave is never undone, and gone is final", () => {
@@ -76,9 +76,9 @@
     { type: "gateways", changed, lost: [] },
     { type: "gateways", changed: [{ ...first, isReady: false }], lost: ["g2"] },
   );
-  const again = createFleetMachine();
-  again.restore(machine.save());
-  assert.equal([...again.getGateways().values()], [
+  const restored = createFleetMachine();
+  restored.restore(machine.save());
+  assert.equal([...restored.getGateways().values()], [
     { ...first, isReady: false },
   ]);
 });
@@ -92,11 +92,11 @@
     { type: "leave", engineId: "b", kind: "gone" },
     { type: "leave", engineId: "c", kind: "draining" },
   );
-  const again = createFleetMachine();
-  again.restore(machine.save());
-  assert.is(again.getAccepted()?.packed, "three");
-  assert.is(again.getLeave("a"), undefined);
-  assert.is(again.getLeave("c"), "draining");
+  const restored = createFleetMachine();
+  restored.restore(machine.save());
+  assert.is(restored.getAccepted()?.packed, "three");
+  assert.is(restored.getLeave("a"), undefined);
+  assert.is(restored.getLeave("c"), "draining");
 });
 
 test.run();
--- a/src/fleet/open_fleet_storage.ts
+++ b/src/fleet/open_fleet_storage.ts
@@ -51,7 +51,7 @@
   }
   const seeds = [...options.seeds]
     .sort((a, b) => a.callerAddress < b.callerAddress ? -1 : 1);
-  const isFirstVoter = options.isFirstStart &&
+  const isInitialVoter = options.isFirstStart &&
     seeds.some((seed) => seed.callerAddress === callerAddress);
   const names = seeds.map((seed) => seed.callerAddress).join(" ");
   const clusterId = createHash("sha256").update(names).digest("hex")
@@ -62,10 +62,10 @@
     vm: callerAddress,
     // No lock is needed: the platform starts only one process per folder.
     isLocked: false,
-    form: isFirstVoter
-      ? { address: peerAddress, clusterId, members: listFirstVoters(seeds) }
+    form: isInitialVoter
+      ? { address: peerAddress, clusterId, members: listInitialVoters(seeds) }
       : undefined,
-    makeReplicaId: isFirstVoter ? getFirstReplicaId : undefined,
+    makeReplicaId: isInitialVoter ? getFirstReplicaId : undefined,
   });
   if (storage.stored.tornBytes > 0) {
     options.log("tornTailCut", { sizeBytes: storage.stored.tornBytes });
@@ -73,7 +73,7 @@
   return storage;
 }
 
-function listFirstVoters(seeds: readonly FleetSeed[]): Member[] {
+function listInitialVoters(seeds: readonly FleetSeed[]): Member[] {
   return seeds.map((seed) => ({
     id: getFirstReplicaId(seed.callerAddress),
     vm: seed.callerAddress,
--- a/src/fleet/session_messages.ts
+++ b/src/fleet/session_messages.ts
@@ -22,7 +22,7 @@
 } from "./messages.ts";
 
 /** Minimum length of a message that is compressed; shorter ones gain nothing. */
-const PACKED_FROM_CHARS = 400;
+const MIN_PACKED_CHARS = 400;
 
 /**
  * Encodes a message of the leader. A message to all gateways is encoded once and sent
@@ -91,7 +91,7 @@
  * @returns The encoded message.
  * @throws Nothing.
  * @example
- * stream.write(formatGatewayMessage(beat, numbers));
+ * stream.write(formatGatewayMessage(heartbeat, numbers));
  */
 export function formatGatewayMessage(
   message: GatewayMessage,
@@ -100,9 +100,9 @@
   if (message.type !== "beat" || !message.loads) {
     return makeMessage({ json: JSON.stringify(message) });
   }
-  const { loads, ...rest } = message;
+  const { loads, ...otherFields } = message;
   return makeMessage({
-    json: JSON.stringify(rest),
+    json: JSON.stringify(otherFields),
     loads: numbers.formatLoads(loads),
   });
 }
@@ -137,7 +137,7 @@
 }
 
 function packText(json: string): Pick<wire.FleetMessage, "json" | "packed"> {
-  if (json.length < PACKED_FROM_CHARS) {
+  if (json.length < MIN_PACKED_CHARS) {
     return { json, packed: Buffer.alloc(0) };
   }
   return { json: "", packed: deflateRawSync(Buffer.from(json, "utf8")) };
--- a/src/fleet/session_messages_test.ts
+++ b/src/fleet/session_messages_test.ts
@@ -19,16 +19,16 @@
 const ENGINES_OF_GATEWAY = 40;
 
 /** Deterministic pseudo-random numbers. */
-function draw(seed: number): number {
+function getPseudoRandom(seed: number): number {
   return Math.imul(seed + 1, 2_654_435_761) >>> 0;
 }
 
 const engines: readonly EngineRecord[] = Array.from(
   { length: ENGINES },
   (_, at) => ({
-    engineId: `i-${draw(at).toString(16).padStart(8, "0")}`,
+    engineId: `i-${getPseudoRandom(at).toString(16).padStart(8, "0")}`,
     service: "model",
-    address: `10.128.${at % 7}.${draw(at) % 250}:8080`,
+    address: `10.128.${at % 7}.${getPseudoRandom(at) % 250}:8080`,
     place: `place-${at % 5}`,
     slots: 134,
     isLeaving: false,
@@ -47,22 +47,22 @@
     ids.map((engineId, at) => [
       engineId,
       {
-        tokens: 900 + draw(gateway + at) % 3_000,
+        tokens: 900 + getPseudoRandom(gateway + at) % 3_000,
         requests: at % 10 === 0 ? 2 : 0,
       },
     ]),
   );
 }
 
-function overTheWire(message: wire.FleetMessage): wire.FleetMessage {
+function sendOverWire(message: wire.FleetMessage): wire.FleetMessage {
   return wire.FleetMessage.decode(wire.FleetMessage.encode(message).finish());
 }
 
-function measure(message: wire.FleetMessage): number {
+function getEncodedBytes(message: wire.FleetMessage): number {
   return wire.FleetMessage.encode(message).finish().length;
 }
 
-function meet() {
+function startSession() {
   const leader = createEngineNumbers();
   const gateway = createEngineNumbers();
   const list: LeaderMessage = {
@@ -71,22 +71,22 @@
     engines,
     gone: [],
   };
-  const told = formatLeaderMessage(list, leader);
-  const heard = parseLeaderMessage(overTheWire(told), gateway);
-  return { leader, gateway, list, told, heard };
+  const encoded = formatLeaderMessage(list, leader);
+  const decoded = parseLeaderMessage(sendOverWire(encoded), gateway);
+  return { leader, gateway, list, encoded, decoded };
 }
 
 test("encoding and decoding a message gives the same message", () => {
-  const { leader, gateway, list, heard } = meet();
-  assert.equal(heard, list);
+  const { leader, gateway, list, decoded } = startSession();
+  assert.equal(decoded, list);
   const sum: LeaderMessage = {
     type: "loads",
     loads: makeLoads(3),
     activity: { model: { askedPerS: 240, endedPerS: 238.5, waiting: 2 } },
   };
-  const toldSum = overTheWire(formatLeaderMessage(sum, leader));
-  assert.equal(parseLeaderMessage(toldSum, gateway), sum);
-  const beat: GatewayMessage = {
+  const encodedSum = sendOverWire(formatLeaderMessage(sum, leader));
+  assert.equal(parseLeaderMessage(encodedSum, gateway), sum);
+  const heartbeat: GatewayMessage = {
     type: "beat",
     sentMs: 12.5,
     isReady: true,
@@ -94,40 +94,47 @@
     slowEngines: ["e"],
     loads: makeLoads(4),
   };
-  const toldBeat = overTheWire(formatGatewayMessage(beat, gateway));
-  assert.equal(parseGatewayMessage(toldBeat, leader), beat);
-  const { loads: _loads, ...quiet } = beat;
-  const toldQuiet = overTheWire(formatGatewayMessage(quiet, gateway));
-  assert.equal(parseGatewayMessage(toldQuiet, leader), quiet);
+  const encodedHeartbeat = sendOverWire(
+    formatGatewayMessage(heartbeat, gateway),
+  );
+  assert.equal(parseGatewayMessage(encodedHeartbeat, leader), heartbeat);
+  const { loads: _loads, ...withoutLoads } = heartbeat;
+  const encodedWithoutLoads = sendOverWire(
+    formatGatewayMessage(withoutLoads, gateway),
+  );
+  assert.equal(parseGatewayMessage(encodedWithoutLoads, leader), withoutLoads);
   const ack: LeaderMessage = { type: "beatAck", sentMs: 12.5, version: 7 };
-  const toldAck = overTheWire(formatLeaderMessage(ack, leader));
-  assert.equal(parseLeaderMessage(toldAck, gateway), ack);
+  const encodedAck = sendOverWire(formatLeaderMessage(ack, leader));
+  assert.equal(parseLeaderMessage(encodedAck, gateway), ack);
 });
 
 test("empty loads are sent too", () => {
-  const { leader, gateway } = meet();
+  const { leader, gateway } = startSession();
   const none: LeaderMessage = { type: "loads", loads: {}, activity: {} };
-  const told = overTheWire(formatLeaderMessage(none, leader));
-  assert.equal(parseLeaderMessage(told, gateway), none);
+  const encoded = sendOverWire(formatLeaderMessage(none, leader));
+  assert.equal(parseLeaderMessage(encoded, gateway), none);
 });
 
 test("an engine that the leader has not numbered is left out", () => {
-  const { gateway } = meet();
+  const { gateway } = startSession();
   const loads = { stranger: { tokens: 5, requests: 1 } };
   assert.equal(gateway.formatLoads(loads).engineNumbers, []);
 });
 
 test("the encoded list of 221 engines takes less than a tenth of its 42 KB of JSON", () => {
-  const { list, told } = meet();
+  const { list, encoded } = startSession();
   const textBytes = JSON.stringify(list).length;
-  assert.ok(measure(told) < textBytes / 10, `${measure(told)} of ${textBytes}`);
+  assert.ok(
+    getEncodedBytes(encoded) < textBytes / 10,
+    `${getEncodedBytes(encoded)} of ${textBytes}`,
+  );
 });
 
 test("the encoded loads of 200 gateways take less than a seventh of their JSON", () => {
-  const { leader, gateway } = meet();
+  const { leader, gateway } = startSession();
   const all = Array.from({ length: GATEWAYS }, (_, at) => makeLoads(at));
   const sum = sumLoads(all);
-  const sumBytes = measure(
+  const sumBytes = getEncodedBytes(
     formatLeaderMessage({ type: "loads", loads: sum, activity: {} }, leader),
   );
   const sumTextBytes = JSON.stringify({ type: "loads", loads: sum }).length;
--- a/src/fleet/start_fleet_control.ts
+++ b/src/fleet/start_fleet_control.ts
@@ -29,19 +29,16 @@
   createLayerKeeper,
   type SendLayerOrder,
 } from "./create_layer_keeper.ts";
-import { createLeaderCaller } from "./create_leader_caller.ts";
-import { createLeaderDesk } from "./create_leader_desk.ts";
-import {
-  createLeaderRounds,
-  VOTER_SILENCE_MS,
-} from "./create_leader_rounds.ts";
+import { createLeaderClient } from "./create_leader_client.ts";
+import { createLeaderCallHandler } from "./create_leader_call_handler.ts";
+import { createLeaderLoop, VOTER_TIMEOUT_MS } from "./create_leader_loop.ts";
 import { createLimitDesk } from "./create_limit_desk.ts";
-import { createMemberKeeper } from "./create_member_keeper.ts";
-import { createPaceWatch, type ReadPace } from "./create_pace_watch.ts";
-import { createQuarantineDesk } from "./create_quarantine_desk.ts";
+import { createMembershipManager } from "./create_membership_manager.ts";
+import { createPaceMonitor, type ReadPace } from "./create_pace_watch.ts";
+import { createQuarantineCoordinator } from "./create_quarantine_desk.ts";
 import {
   createRepeatLender,
-  type RepeatBounds,
+  type FleetRetryBudget,
 } from "./create_repeat_lender.ts";
 import type { DecodeConfig, FleetCall, FleetReply } from "./messages.ts";
 import { type FleetSeed, openFleetStorage } from "./open_fleet_storage.ts";
@@ -68,7 +65,7 @@
   /** Ms between two heartbeats of an upstream. */
   readonly beatIntervalMs: number;
   /** Retry budget of all gateways together. */
-  readonly repeats: RepeatBounds;
+  readonly repeats: FleetRetryBudget;
   /**
    * Monotonic time, in ms, at which this process started: no leader can have contacted
    * it before. Defaults to the time of the call.
@@ -123,14 +120,14 @@
 const VOTERS_WAIT_MS = 10_000;
 
 /** Heartbeat timeout of an upstream, in heartbeat intervals. */
-const BEATS_OF_SILENCE = 2.6;
+const HEARTBEAT_TIMEOUT_INTERVALS = 2.6;
 
 /**
  * Heartbeat intervals without a heartbeat of any upstream after which the heartbeat
  * clock pauses. One interval shorter than the heartbeat timeout, because the last
  * heartbeats of all upstreams are spread over an interval.
  */
-const BEATS_OF_QUIET = 1.5;
+const CLOCK_PAUSE_INTERVALS = 1.5;
 
 /** Ms within which all gateways connect to a new leader that knows none of them. */
 const GATEWAYS_SETTLE_MS = 2_000;
@@ -164,35 +161,36 @@
   let leadingSinceMs = Infinity;
   // Number of times that this process became leader, and the last of them in which it
   // has loaded what earlier leaders had recorded.
-  let leadCount = 0;
-  let informedLead = -1;
+  let leadershipCount = 0;
+  let loadedLeadership = -1;
   // Resolves once the recorded state is loaded.
-  let addingRecorded = Promise.resolve();
-  const leadsFor = (spanMs: number) => now() - leadingSinceMs >= spanMs;
+  let loadingRecorded = Promise.resolve();
+  const hasLedFor = (spanMs: number) => now() - leadingSinceMs >= spanMs;
   // Heartbeats are rejected without a lease, so that time does not count as silence.
   const listening = createListeningClock({
     now,
     lookIntervalMs: TICK_INTERVAL_MS,
     isListening: false,
   });
-  let listensSinceMs = 0;
-  const listensFor = (spanMs: number) =>
-    listening.now() - listensSinceMs >= spanMs;
-  const silenceMs = settings.beatIntervalMs * BEATS_OF_SILENCE;
+  let listeningSinceMs = 0;
+  const hasListenedFor = (spanMs: number) =>
+    listening.now() - listeningSinceMs >= spanMs;
+  const heartbeatTimeoutMs = settings.beatIntervalMs *
+    HEARTBEAT_TIMEOUT_INTERVALS;
 
   const history = createConfigHistory(options);
-  const machine = createFleetMachine({ onChange: takeChange });
+  const machine = createFleetMachine({ onChange: handleCommand });
   // Addresses that replicas report in their messages: a replica that starts without
   // state knows no members; it responds to, and joins, those that contact it.
-  const senders = new Map<string, string>();
+  const senderAddresses = new Map<string, string>();
   const { replica, transport } = createReplicaHost({
     storage,
     machine,
     timing: QUORUM_TIMING,
     snapshotEntries: SNAPSHOT_ENTRIES,
     getAddress: (id, { members }) =>
-      members.find((one) => one.id === id)?.address ?? senders.get(id),
-    onSender: (id, address) => void senders.set(id, address),
+      members.find((one) => one.id === id)?.address ?? senderAddresses.get(id),
+    onSender: (id, address) => void senderAddresses.set(id, address),
     onLead,
     onLeadLost,
     onFatal: options.onFatal,
@@ -208,10 +206,10 @@
     return accepted ? history.read(accepted.packed).services : [];
   };
   const isLeader = () => replica.getState().role === "leader";
-  const knowsRecorded = () => informedLead === leadCount;
+  const hasLoadedRecorded = () => loadedLeadership === leadershipCount;
   const registry = createEngineRegistry({
-    silenceMs,
-    quietMs: settings.beatIntervalMs * BEATS_OF_QUIET,
+    silenceMs: heartbeatTimeoutMs,
+    quietMs: settings.beatIntervalMs * CLOCK_PAUSE_INTERVALS,
     now: listening.now,
     getLeave: machine.getLeave,
     // Before the first configuration any service name is accepted.
@@ -223,14 +221,14 @@
     publish: (change) => sessions.publishEngines(change),
     log,
   });
-  const lender = createRepeatLender({
+  const retryLender = createRepeatLender({
     ...settings.repeats,
     getLeadsForMs: () => now() - leadingSinceMs,
     now,
   });
   const propose = (command: FleetCommand) =>
     replica.propose(JSON.stringify(command));
-  const quarantine = createQuarantineDesk({
+  const quarantine = createQuarantineCoordinator({
     getCases: machine.getCases,
     propose,
     publish: (message) => sessions.publish(message),
@@ -252,22 +250,22 @@
     // empty list, and rejected its callers.
     async confirmRead() {
       await replica.confirmRead();
-      await addingRecorded;
+      await loadingRecorded;
     },
-    getLeaderAddress: () => hasHeardLeader() ? getLeader()?.address ?? "" : "",
+    getLeaderAddress: () => isLeaderFresh() ? getLeader()?.address ?? "" : "",
     getControlAddresses: () =>
       replica.getState().members.map((member) => member.address),
     getAccepted: machine.getAccepted,
     history,
     getEngines: registry.getRecords,
     knowsAllEngines: registry.knowsAll,
-    knowsAllGateways: () => leadsFor(GATEWAYS_SETTLE_MS),
-    lendRepeats: lender.lend,
+    knowsAllGateways: () => hasLedFor(GATEWAYS_SETTLE_MS),
+    lendRepeats: retryLender.lend,
     quarantine,
     limits,
     onSuspects: registry.takeSuspects,
-    onSlow: (engineIds) => paces.noteSlow(engineIds),
-    onLeaving: (engineIds) => void desk.noteLeaves(engineIds),
+    onSlow: (engineIds) => paceMonitor.recordSlow(engineIds),
+    onLeaving: (engineIds) => void calls.recordLeaves(engineIds),
     now,
     listeningNow: listening.now,
     log,
@@ -275,25 +273,25 @@
   });
   // The leader's orders and polls are not requests, so the absence of a limit in their
   // responses doesn't lift one; a leave or a named limit counts.
-  function takeNotice(engineId: string, notice: EngineNotice): void {
+  function handleNotice(engineId: string, notice: EngineNotice): void {
     const { isLeaving, limitPerS = Infinity } = notice;
-    if (isLeaving) void desk.noteLeaves([engineId]);
+    if (isLeaving) void calls.recordLeaves([engineId]);
     if (limitPerS < Infinity) limits.take({ engineId, limitPerS });
   }
 
-  const paces = createPaceWatch({
+  const paceMonitor = createPaceMonitor({
     getEngines: () =>
       registry.getRecords().filter((record) => record.layers !== undefined),
     readPace: options.readPace,
     onPace: registry.takePace,
-    onNotice: takeNotice,
+    onNotice: handleNotice,
     now,
   });
-  const keeper = createLayerKeeper({
+  const layerManager = createLayerKeeper({
     getServices,
     getEngines: registry.getRecords,
     sendOrder: options.sendLayerOrder,
-    onNotice: takeNotice,
+    onNotice: handleNotice,
     hasLeft: (engineId) => machine.getLeave(engineId) !== undefined,
     hasEnded: (engineId) =>
       [...machine.getCases().values()].some((one) =>
@@ -302,7 +300,7 @@
     now,
     log,
   });
-  const recorder = createEngineRecorder({
+  const engineRecorder = createEngineRecorder({
     getHeard: registry.getRecords,
     getRecorded: machine.getEngines,
     propose,
@@ -314,18 +312,18 @@
     propose,
     log,
   });
-  const members = createMemberKeeper({
+  const members = createMembershipManager({
     replica,
     voters: settings.voters,
-    silenceMs: VOTER_SILENCE_MS,
+    responseTimeoutMs: VOTER_TIMEOUT_MS,
     now: listening.now,
     log,
   });
   const countVoters = () =>
     replica.getState().members.filter(({ role }) => role === "voter").length;
   const hasEnoughVoters = () =>
-    leadsFor(VOTERS_WAIT_MS) || countVoters() >= settings.voters;
-  const desk = createLeaderDesk({
+    hasLedFor(VOTERS_WAIT_MS) || countVoters() >= settings.voters;
+  const calls = createLeaderCallHandler({
     hasEnoughVoters,
     hasLease: () => replica.hasLease(),
     machine,
@@ -336,27 +334,27 @@
     history,
     log,
   });
-  const rounds = createLeaderRounds({
+  const leaderLoop = createLeaderLoop({
     // Until the recorded state is loaded, all of it would be recorded as lost.
-    isLeading: () => isLeader() && replica.hasLease() && knowsRecorded(),
+    isLeading: () => isLeader() && replica.hasLease() && hasLoadedRecorded(),
     listening,
-    listensFor,
+    hasListenedFor,
     isFirstStart: settings.isFirstStart,
     sessions,
     registry,
-    paces,
+    paces: paceMonitor,
     quarantine,
-    recorders: [recorder, gatewayRecorder],
+    recorders: [engineRecorder, gatewayRecorder],
     members,
-    keeper,
+    layerManager,
     log,
   });
-  const caller = createLeaderCaller();
+  const leaderClient = createLeaderClient();
 
-  function takeChange(command: FleetCommand): void {
+  function handleCommand(command: FleetCommand): void {
     if (command.type === "engines" || command.type === "gateways") return;
     if (command.type === "crashes" || command.type === "casesCleared") {
-      return quarantine.noteChange({ isLeader: isLeader() });
+      return quarantine.handleChange({ isLeader: isLeader() });
     }
     if (command.type === "leave") {
       // A follower keeps no registry; it reads the state machine when it is elected.
@@ -369,15 +367,15 @@
   }
 
   function onLead(): void {
-    leadCount += 1;
+    leadershipCount += 1;
     leadingSinceMs = now();
-    listensSinceMs = listening.now();
+    listeningSinceMs = listening.now();
     members.reset();
-    rounds.reset();
+    leaderLoop.reset();
     registry.reset();
-    keeper.reset();
+    layerManager.reset();
     limits.reset();
-    addingRecorded = addRecorded();
+    loadingRecorded = loadRecorded();
   }
 
   function onLeadLost(): void {
@@ -387,8 +385,8 @@
 
   // A leader has applied all committed entries only once an entry of its own term is
   // committed.
-  async function addRecorded(): Promise<void> {
-    const lead = leadCount;
+  async function loadRecorded(): Promise<void> {
+    const leadership = leadershipCount;
     try {
       await replica.confirmRead();
     } catch {
@@ -404,7 +402,7 @@
     const newestRuns = machine.getNewestRuns();
     registry.addRecorded(staying, { newestRuns });
     sessions.expectGateways(machine.getGateways().values());
-    informedLead = lead;
+    loadedLeadership = leadership;
   }
 
   function getLeader(): Member | undefined {
@@ -413,28 +411,28 @@
   }
 
   // Redirecting gateways to a leader that has just failed would be useless.
-  function hasHeardLeader(): boolean {
+  function isLeaderFresh(): boolean {
     const { leaderContactMs } = replica.getState();
     return now() - leaderContactMs < LEADER_FRESH_MS;
   }
 
   function call(request: FleetCall): Promise<FleetReply> {
-    if (isLeader()) return desk.take(request);
+    if (isLeader()) return calls.handle(request);
     const leader = getLeader();
     if (!leader || leader.id === replicaId) {
       return Promise.resolve({ type: "unavailable", reason: "no leader" });
     }
-    return caller.call(leader.address, request);
+    return leaderClient.call(leader.address, request);
   }
 
-  async function takeCall(json: string): Promise<FleetReply> {
+  async function handleCall(json: string): Promise<FleetReply> {
     // A call is forwarded only once: two processes that take each other for the leader
     // must not forward it back and forth.
-    if (isLeader()) return await desk.take(JSON.parse(json) as FleetCall);
+    if (isLeader()) return await calls.handle(JSON.parse(json) as FleetCall);
     return { type: "unavailable", reason: "not the leader" };
   }
 
-  const takeJoin = createJoinHandler({
+  const handleJoin = createJoinHandler({
     fleetId: settings.fleetId,
     replica,
     getIdentity: () => storage.identity,
@@ -445,8 +443,8 @@
     address: settings.peerAddress,
     handleDeliver: transport.handleDeliver,
     handleSession: sessions.handleSession,
-    takeJoin,
-    takeCall,
+    handleJoin,
+    handleCall,
   });
 
   const joining = new AbortController();
@@ -461,14 +459,14 @@
       getPeerAddresses: () =>
         [
           ...options.getSeeds().map((seed) => seed.peerAddress),
-          ...senders.values(),
+          ...senderAddresses.values(),
         ].filter((address) => address !== settings.peerAddress),
     }).then((joined) => {
       if (joined) log("clusterJoined", { ...storage.identity });
     });
   }
 
-  const timer = setInterval(rounds.tick, TICK_INTERVAL_MS);
+  const timer = setInterval(leaderLoop.tick, TICK_INTERVAL_MS);
   log("started", { vm: settings.callerAddress, replicaId });
 
   async function stop(): Promise<void> {
@@ -477,7 +475,7 @@
     await handOver(replica);
     clearInterval(timer);
     sessions.closeAll();
-    await caller[Symbol.asyncDispose]();
+    await leaderClient[Symbol.asyncDispose]();
     await transport[Symbol.asyncDispose]();
     server.forceShutdown();
     await replica[Symbol.asyncDispose]();
--- a/src/fleet/start_fleet_server.ts
+++ b/src/fleet/start_fleet_server.ts
@@ -14,9 +14,11 @@
   readonly address: string;
   readonly handleDeliver: wire.PeerServer["deliver"];
   readonly handleSession: wire.FleetServer["session"];
-  readonly takeJoin: (request: wire.JoinRequest) => Promise<wire.JoinResponse>;
+  readonly handleJoin: (
+    request: wire.JoinRequest,
+  ) => Promise<wire.JoinResponse>;
   /** Handles a call, given as JSON text. */
-  readonly takeCall: (json: string) => Promise<FleetReply>;
+  readonly handleCall: (json: string) => Promise<FleetReply>;
 }
 
 /**
@@ -31,14 +33,14 @@
 export async function startFleetServer(
   options: StartFleetServerOptions,
 ): Promise<Server> {
-  const { address, takeJoin, takeCall } = options;
+  const { address, handleJoin, handleCall } = options;
   const server = new Server(CHANNEL_OPTIONS);
   server.addService(
     wire.PeerService,
     {
       deliver: options.handleDeliver,
       join: (call, done) => {
-        void takeJoin(call.request).then((answer) => done(null, answer));
+        void handleJoin(call.request).then((answer) => done(null, answer));
       },
     } satisfies wire.PeerServer,
   );
@@ -47,7 +49,7 @@
     {
       session: options.handleSession,
       call: (call, done) => {
-        void takeCall(call.request.json)
+        void handleCall(call.request.json)
           .then((reply) => done(null, { json: JSON.stringify(reply) }));
       },
     } satisfies wire.FleetServer,
