--- a/src/engines/create_heartbeat_clock.ts
+++ b/src/engines/create_heartbeat_clock.ts
@@ -39,13 +39,16 @@
 export function createBeatClock(
   options: CreateHeartbeatClockOptions,
 ): HeartbeatClock {
-  const { now, quietMs, maxStandMs } = options;
+  const { now, quietMs: thresholdMs, maxStandMs: limitMs } = options;
   let lastHeartbeatMs = now();
   // Total duration of the pauses that had ended by the newest heartbeat.
   let totalPauseMs = 0;
 
   function getPauseMs(): number {
-    return Math.min(maxStandMs, Math.max(0, now() - lastHeartbeatMs - quietMs));
+    return Math.min(
+      limitMs,
+      Math.max(0, now() - lastHeartbeatMs - thresholdMs),
+    );
   }
 
   return {
--- a/src/engines/create_heartbeat_clock_test.ts
+++ b/src/engines/create_heartbeat_clock_test.ts
@@ -14,7 +14,7 @@
 
 test("the clock runs while heartbeats arrive", () => {
   const { clock, advance } = startClock();
-  for (let beat = 0; beat < 10; beat++) {
+  for (let count = 0; count < 10; count++) {
     advance(90);
     clock.noteBeat();
   }
--- a/src/engines/engines_test.ts
+++ b/src/engines/engines_test.ts
@@ -56,7 +56,7 @@
   assert.equal([...last.state.engines.keys()], ["e2"]);
 });
 
-test("an upstream whose first heartbeat was lost gets its address once the holder is silent", () => {
+test("an upstream whose first heartbeat was lost gets its address after the holder stops", () => {
   let { state } = takeBeat(EMPTY, makeBeat({ sequence: 9 }), { nowMs: 0 });
   const second = makeBeat({ engineId: "e2", sequence: 2 });
   state = takeBeat(state, second, { nowMs: 300 }).state;
--- a/src/engines/newest_incarnations.ts
+++ b/src/engines/newest_incarnations.ts
@@ -33,7 +33,7 @@
  * Checks whether an incarnation is older than the newest one of its upstream. One
  * without a start time can't be ordered: it counts as older if any start time is known.
  *
- * @param run - The incarnation.
+ * @param incarnation - The incarnation.
  * @param newestRuns - The newest incarnations.
  * @returns Whether it is an older one.
  * @throws Nothing.
@@ -41,12 +41,12 @@
  * if (isEarlierIncarnation(heartbeat, state.newestRuns)) return;
  */
 export function isOfEarlierRun(
-  run: Incarnation,
+  incarnation: Incarnation,
   newestRuns: NewestRuns = new Map(),
 ): boolean {
-  const { startedMs } = run;
+  const { startedMs } = incarnation;
   if (startedMs === undefined) return newestRuns.size > 0;
-  const newest = newestRuns.get(getUpstreamName(run));
+  const newest = newestRuns.get(getUpstreamName(incarnation));
   return startedMs < (newest?.startedMs ?? -Infinity);
 }
 
@@ -54,7 +54,7 @@
  * Records an incarnation if it is the newest of its upstream.
  *
  * @param newestRuns - The newest incarnations.
- * @param run - The incarnation.
+ * @param incarnation - The incarnation.
  * @returns The newest incarnations, updated.
  * @throws Nothing.
  * @example
@@ -62,11 +62,11 @@
  */
 export function noteRun(
   newestRuns: NewestRuns = new Map(),
-  run: Incarnation,
+  incarnation: Incarnation,
 ): NewestRuns {
-  const { engineId, startedMs } = run;
+  const { engineId, startedMs } = incarnation;
   if (startedMs === undefined) return newestRuns;
-  const name = getUpstreamName(run);
+  const name = getUpstreamName(incarnation);
   const known = newestRuns.get(name);
   if (known && known.startedMs >= startedMs) return newestRuns;
   const next = new Map(newestRuns);
--- a/src/engines/remove_unresponsive.ts
+++ b/src/engines/remove_unresponsive.ts
@@ -31,9 +31,9 @@
   state: RegistryState,
   options: RemoveUnresponsiveOptions,
 ): { readonly state: RegistryState; readonly lost: readonly string[] } {
-  const { nowMs, silenceMs } = options;
+  const { nowMs, silenceMs: timeoutMs } = options;
   const lost = [...state.engines]
-    .filter(([, engine]) => nowMs - engine.heardMs > silenceMs)
+    .filter(([, engine]) => nowMs - engine.heardMs > timeoutMs)
     .map(([id]) => id);
   if (lost.length === 0) return { state, lost };
   return { state: removeEngines(state, lost), lost };
--- a/src/fleet/create_leader_call_handler_test.ts
+++ b/src/fleet/create_leader_call_handler_test.ts
@@ -51,13 +51,13 @@
   assert.is(registry.getRecords().length, 1);
 });
 
-test("a leave reported by gateways is recorded once, for a registered incarnation only", async () => {
+test("a leave reported by gateways is recorded once, for registered upstreams only", async () => {
   const { handler, registry, machine, proposed } = makeHandler(() => true);
-  const beat = makeBeat();
-  const { engineId } = beat;
+  const heartbeat = makeBeat();
+  const { engineId } = heartbeat;
   await handler.recordLeaves([engineId]);
   assert.equal(proposed, []);
-  await handler.handle({ type: "beat", beat });
+  await handler.handle({ type: "beat", beat: heartbeat });
   await Promise.all([
     handler.recordLeaves([engineId]),
     handler.recordLeaves([engineId]),
@@ -68,7 +68,7 @@
   // A later heartbeat without the leaving flag does not undo the leave.
   await handler.handle({
     type: "beat",
-    beat: { ...beat, sequence: beat.sequence + 1, isLeaving: false },
+    beat: { ...heartbeat, sequence: heartbeat.sequence + 1, isLeaving: false },
   });
   assert.ok(registry.getRecords()[0].isLeaving);
 });
--- a/src/fleet/create_leader_loop_test.ts
+++ b/src/fleet/create_leader_loop_test.ts
@@ -47,7 +47,7 @@
   return { loop, calls, state };
 }
 
-test("a new leader removes no engine and sends no layer order before it knows all engines", () => {
+test("a new leader removes no engine and orders no layers before it knows all engines", () => {
   const { loop, calls, state } = startLoop({ isFirstStart: false });
   loop.tick();
   assert.equal(calls.splice(0), ["sessions", "paces", "recorder"]);
@@ -58,7 +58,7 @@
   }
 });
 
-test("a new fleet's layers are placed at once, and the full engine list is published once", async () => {
+test("a new fleet's layers are placed at once, and all engines are published once", async () => {
   const { loop, calls, state } = startLoop({ isFirstStart: true });
   loop.tick();
   assert.ok(calls.includes("layers"));
--- a/src/fleet/create_loss_reports_test.ts
+++ b/src/fleet/create_loss_reports_test.ts
@@ -2,16 +2,16 @@
 import * as assert from "uvu/assert";
 import { createLossReports } from "./create_loss_reports.ts";
 
-function startReports() {
+function startCollector() {
   const clock = { nowMs: 0 };
-  const reports = createLossReports({ now: () => clock.nowMs });
+  const collector = createLossReports({ now: () => clock.nowMs });
   const report = (vm: string, place: string, engineIds: readonly string[]) =>
-    reports.take({ vm, place, engineIds });
+    collector.take({ vm, place, engineIds });
   return { clock, report };
 }
 
 test("a failure is confirmed by two gateways of one data centre, not by one or across two", () => {
-  const { report } = startReports();
+  const { report } = startCollector();
   assert.equal(report("g1", "a", ["e"]), []);
   assert.equal(report("g1", "a", ["e"]), []);
   assert.equal(report("g2", "b", ["e"]), []);
@@ -19,7 +19,7 @@
 });
 
 test("a confirmed failure is not repeated until its reports expire", () => {
-  const { clock, report } = startReports();
+  const { clock, report } = startCollector();
   report("g1", "a", ["e"]);
   assert.equal(report("g2", "a", ["e"]), ["e"]);
   assert.equal(report("g3", "a", ["e"]), []);
--- a/src/fleet/create_quarantine_desk.ts
+++ b/src/fleet/create_quarantine_desk.ts
@@ -29,7 +29,7 @@
   /** Resolves once the command is committed and applied. */
   readonly propose: (command: FleetCommand) => Promise<unknown>;
   /** Sends a message to all gateways. */
-  readonly publish: (described: CasesMessage) => void;
+  readonly publish: (message: CasesMessage) => void;
   /** Monotonic time, in ms. */
   readonly now: () => number;
   readonly log: Logger;
@@ -45,9 +45,9 @@
 /** The leader's part of the quarantine. */
 export interface QuarantineDesk {
   /** Handles a gateway's reports. */
-  take(vm: string, news: QuarantineReports): void;
+  take(vm: string, reports: QuarantineReports): void;
   /** Grants a trial run: returns the upstream where the request may start, if any. */
-  grantTrial(vm: string, wish: TrialWish): string | undefined;
+  grantTrial(vm: string, request: TrialWish): string | undefined;
   /** All cases, for operators and for gateways that join. */
   list(): readonly ToldCase[];
   /** Clears the case of a request. */
@@ -175,10 +175,10 @@
     changed.filter(isNewConviction).forEach(logConviction);
     published = cases;
     if (changed.length + cleared.length === 0) return;
-    const message = changed.map(describe);
+    const describedCases = changed.map(describe);
     options.publish({
       type: "cases",
-      cases: message,
+      cases: describedCases,
       cleared,
     });
   }
--- a/src/fleet/create_quarantine_desk_test.ts
+++ b/src/fleet/create_quarantine_desk_test.ts
@@ -32,28 +32,28 @@
 test("the third crash, in a trial run, convicts the request; this is published", async () => {
   const { coordinator, published, reportCrash } = startCoordinator();
   await reportCrash("g1", "r", "e1");
-  const wish = { requestKey: "r", engineIds: ["e3", "e4"] };
+  const request = { requestKey: "r", engineIds: ["e3", "e4"] };
   assert.is(
-    coordinator.grantTrial("g2", wish),
+    coordinator.grantTrial("g2", request),
     undefined,
     "one crash needs no trial",
   );
   await reportCrash("g2", "r", "e2");
-  assert.is(coordinator.grantTrial("g2", wish), "e3");
+  assert.is(coordinator.grantTrial("g2", request), "e3");
   assert.is(
-    coordinator.grantTrial("g3", wish),
+    coordinator.grantTrial("g3", request),
     undefined,
     "one trial at a time",
   );
-  const repeated = { ...wish, engineIds: ["e4", "e3"] };
+  const retriedRequest = { ...request, engineIds: ["e4", "e3"] };
   assert.is(
-    coordinator.grantTrial("g2", repeated),
+    coordinator.grantTrial("g2", retriedRequest),
     "e3",
     "a repeated request gets the same upstream",
   );
   await reportCrash("g2", "r", "e3");
   assert.is(published.at(-1)?.cases[0].heldMs, FIRST_HOLD_MS);
-  assert.is(coordinator.grantTrial("g2", wish), undefined);
+  assert.is(coordinator.grantTrial("g2", request), undefined);
 });
 
 test("two suspects never have a trial run on the same upstream", async () => {
@@ -112,7 +112,7 @@
   assert.equal(coordinator.list(), []);
 });
 
-test("a hold survives leader changes, restarts and snapshots, and ends with a trial run", async () => {
+test("a hold survives leader changes, restarts and snapshots, and ends in a trial run", async () => {
   const { coordinator, reportCrash, machine } = startCoordinator();
   await reportCrash("g1", "r", "e1");
   await reportCrash("g1", "r", "e2");
@@ -124,8 +124,8 @@
   assert.is(next.coordinator.list()[0].heldMs, FIRST_HOLD_MS);
   next.state.nowMs = FIRST_HOLD_MS;
   assert.is(next.coordinator.list()[0].heldMs, 0);
-  const wish = { requestKey: "r", engineIds: ["e4"] };
-  assert.is(next.coordinator.grantTrial("g1", wish), "e4");
+  const request = { requestKey: "r", engineIds: ["e4"] };
+  assert.is(next.coordinator.grantTrial("g1", request), "e4");
   await next.reportCrash("g1", "r", "e4");
   assert.is(next.coordinator.list()[0].heldMs, 2 * FIRST_HOLD_MS);
 });
--- a/src/fleet/create_recorder.ts
+++ b/src/fleet/create_recorder.ts
@@ -31,7 +31,7 @@
  * @returns The recorder.
  * @throws Nothing.
  * @example
- * await createRecorder({ findNews, propose, onFailed }).run();
+ * await createRecorder({ findChange, propose, onFailed }).run();
  */
 export function createRecorder(options: CreateRecorderOptions): Recorder {
   let isRecording = false;
--- a/src/fleet/start_fleet_control.ts
+++ b/src/fleet/start_fleet_control.ts
@@ -104,7 +104,7 @@
 };
 
 /** Ms since the leader's last message for which gateways are redirected to it. */
-const LEADER_FRESH_MS = 1.5 * QUORUM_TIMING.heartbeatIntervalMs;
+const LEADER_CONTACT_MAX_AGE_MS = 1.5 * QUORUM_TIMING.heartbeatIntervalMs;
 
 /** Log entries between two snapshots. */
 const SNAPSHOT_ENTRIES = 200;
@@ -117,7 +117,7 @@
  * the tolerated failures require. Afterwards it accepts them anyway: there may be no
  * more processes with a disk.
  */
-const VOTERS_WAIT_MS = 10_000;
+const MAX_VOTERS_WAIT_MS = 10_000;
 
 /** Heartbeat timeout of an upstream, in heartbeat intervals. */
 const HEARTBEAT_TIMEOUT_INTERVALS = 2.6;
@@ -164,7 +164,7 @@
   let leadershipCount = 0;
   let loadedLeadership = -1;
   // Resolves once the recorded state is loaded.
-  let loadingRecorded = Promise.resolve();
+  let recordedStateLoaded = Promise.resolve();
   const hasLedFor = (spanMs: number) => now() - leadingSinceMs >= spanMs;
   // Heartbeats are rejected without a lease, so that time does not count as silence.
   const listening = createListeningClock({
@@ -206,7 +206,7 @@
     return accepted ? history.read(accepted.packed).services : [];
   };
   const isLeader = () => replica.getState().role === "leader";
-  const hasLoadedRecorded = () => loadedLeadership === leadershipCount;
+  const isRecordedStateLoaded = () => loadedLeadership === leadershipCount;
   const registry = createEngineRegistry({
     silenceMs: heartbeatTimeoutMs,
     quietMs: settings.beatIntervalMs * CLOCK_PAUSE_INTERVALS,
@@ -250,9 +250,9 @@
     // empty list, and rejected its callers.
     async confirmRead() {
       await replica.confirmRead();
-      await loadingRecorded;
+      await recordedStateLoaded;
     },
-    getLeaderAddress: () => isLeaderFresh() ? getLeader()?.address ?? "" : "",
+    getLeaderAddress: () => hasRecentLeader() ? getLeader()?.address ?? "" : "",
     getControlAddresses: () =>
       replica.getState().members.map((member) => member.address),
     getAccepted: machine.getAccepted,
@@ -322,7 +322,7 @@
   const countVoters = () =>
     replica.getState().members.filter(({ role }) => role === "voter").length;
   const hasEnoughVoters = () =>
-    hasLedFor(VOTERS_WAIT_MS) || countVoters() >= settings.voters;
+    hasLedFor(MAX_VOTERS_WAIT_MS) || countVoters() >= settings.voters;
   const calls = createLeaderCallHandler({
     hasEnoughVoters,
     hasLease: () => replica.hasLease(),
@@ -335,8 +335,9 @@
     log,
   });
   const leaderLoop = createLeaderLoop({
-    // Until the recorded state is loaded, all of it would be recorded as lost.
-    isLeading: () => isLeader() && replica.hasLease() && hasLoadedRecorded(),
+    // Until the recorded state is loaded, all of it would be recorded as departed.
+    isLeading: () =>
+      isLeader() && replica.hasLease() && isRecordedStateLoaded(),
     listening,
     hasListenedFor,
     isFirstStart: settings.isFirstStart,
@@ -375,7 +376,7 @@
     registry.reset();
     layerManager.reset();
     limits.reset();
-    loadingRecorded = loadRecorded();
+    recordedStateLoaded = loadRecordedState();
   }
 
   function onLeadLost(): void {
@@ -385,7 +386,7 @@
 
   // A leader has applied all committed entries only once an entry of its own term is
   // committed.
-  async function loadRecorded(): Promise<void> {
+  async function loadRecordedState(): Promise<void> {
     const leadership = leadershipCount;
     try {
       await replica.confirmRead();
@@ -411,9 +412,9 @@
   }
 
   // Redirecting gateways to a leader that has just failed would be useless.
-  function isLeaderFresh(): boolean {
+  function hasRecentLeader(): boolean {
     const { leaderContactMs } = replica.getState();
-    return now() - leaderContactMs < LEADER_FRESH_MS;
+    return now() - leaderContactMs < LEADER_CONTACT_MAX_AGE_MS;
   }
 
   function call(request: FleetCall): Promise<FleetReply> {
