--- a/src/fleet/create_leader_loop.ts
+++ b/src/fleet/create_leader_loop.ts
@@ -29,7 +29,7 @@
     "tick" | "publishLoads" | "publishAllEngines"
   >;
   readonly registry: Pick<EngineRegistry, "tick" | "getRecords" | "knowsAll">;
-  readonly paces: Pick<PaceMonitor, "tick">;
+  readonly paceMonitor: Pick<PaceMonitor, "tick">;
   readonly quarantine: Pick<QuarantineDesk, "tick">;
   readonly recorders: readonly Recorder[];
   readonly members: Pick<MembershipManager, "observe" | "run">;
@@ -97,7 +97,7 @@
       sessions.tick();
       rounds += 1;
       if (rounds % LOADS_INTERVAL_ROUNDS === 0) sessions.publishLoads();
-      void options.paces.tick();
+      void options.paceMonitor.tick();
       options.quarantine.tick();
       if (!registry.knowsAll()) {
         recordChanges();
--- a/src/fleet/create_leader_loop_test.ts
+++ b/src/fleet/create_leader_loop_test.ts
@@ -37,7 +37,7 @@
       getRecords: () => [],
       knowsAll: () => state.ledMs >= HEARTBEAT_TIMEOUT_MS,
     },
-    paces: { tick: addAsyncCall("paces") },
+    paceMonitor: { tick: addAsyncCall("paces") },
     quarantine: { tick: () => {} },
     recorders: [{ run: addAsyncCall("recorder") }],
     members: { observe: () => {}, run: addAsyncCall("members") },
--- a/src/fleet/create_limit_desk.ts
+++ b/src/fleet/create_limit_desk.ts
@@ -46,8 +46,8 @@
 }
 
 /**
- * Requests per second that are granted even below the limit: an upstream whose limit
- * is 0 still gets a probe now and then, as only a response shows that the limit ended.
+ * Requests per second that are granted however low the limit is: an upstream with a
+ * limit of 0 is still probed, as only a response can show that the limit has ended.
  */
 export const PROBE_RATE_PER_S = 0.1;
 
--- a/src/fleet/create_quarantine_desk.ts
+++ b/src/fleet/create_quarantine_desk.ts
@@ -62,7 +62,7 @@
 interface Trial {
   readonly vm: string;
   readonly engineId: string;
-  readonly untilMs: number;
+  readonly expiresMs: number;
 }
 
 /** Ms for which reports are batched into one log entry. */
@@ -116,7 +116,7 @@
 
   function removeEndedTrials(): void {
     for (const [key, trial] of trials) {
-      if (now() >= trial.untilMs || !getCases().has(key)) trials.delete(key);
+      if (now() >= trial.expiresMs || !getCases().has(key)) trials.delete(key);
     }
   }
 
@@ -224,7 +224,7 @@
       trials.delete(requestKey);
       const engineId = engineIds.find((id) => !findTrial(id));
       if (engineId === undefined) return undefined;
-      trials.set(requestKey, { vm, engineId, untilMs: now() + MAX_TRIAL_MS });
+      trials.set(requestKey, { vm, engineId, expiresMs: now() + MAX_TRIAL_MS });
       log("trialGranted", { requestKey, vm, engineId });
       return engineId;
     },
--- a/src/fleet/create_repeat_lender.ts
+++ b/src/fleet/create_repeat_lender.ts
@@ -70,12 +70,12 @@
   options: CreateRetryLenderOptions,
 ): RetryLender {
   const { now } = options;
-  const spanMs = options.windowMs + LOAN_MS;
+  const windowAndLoanMs = options.windowMs + LOAN_MS;
   const loans = new Map<string, Loan[]>();
   return {
     lend(service, wanted) {
-      if (options.getLeadsForMs() < spanMs) return 0;
-      const sinceMs = now() - spanMs;
+      if (options.getLeadsForMs() < windowAndLoanMs) return 0;
+      const sinceMs = now() - windowAndLoanMs;
       const recentLoans = (loans.get(service) ?? [])
         .filter(({ atMs }) => atMs >= sinceMs);
       const lent = recentLoans.reduce((sum, { count }) => sum + count, 0);
--- a/src/fleet/messages.ts
+++ b/src/fleet/messages.ts
@@ -252,7 +252,7 @@
   | {
     readonly type: "beatAck";
     readonly sentMs: number;
-    /** Version in force when a quorum last confirmed the leader's lease. */
+    /** Version in force while a quorum had confirmed the leader's lease. */
     readonly version: number;
   };
 
--- a/src/fleet/start_fleet_control.ts
+++ b/src/fleet/start_fleet_control.ts
@@ -124,13 +124,13 @@
 
 /**
  * Heartbeat intervals without a heartbeat of any upstream after which the heartbeat
- * clock pauses. One interval shorter than the heartbeat timeout, because the last
- * heartbeats of all upstreams are spread over an interval.
+ * clock pauses. At least one interval shorter than the heartbeat timeout, because the
+ * last heartbeats of all upstreams are spread over an interval.
  */
 const CLOCK_PAUSE_INTERVALS = 1.5;
 
 /** Ms within which all gateways connect to a new leader that knows none of them. */
-const GATEWAYS_SETTLE_MS = 2_000;
+const GATEWAYS_CONNECT_MS = 2_000;
 
 /**
  * Starts a control process.
@@ -259,7 +259,7 @@
     history,
     getEngines: registry.getRecords,
     knowsAllEngines: registry.knowsAll,
-    knowsAllGateways: () => hasLedFor(GATEWAYS_SETTLE_MS),
+    knowsAllGateways: () => hasLedFor(GATEWAYS_CONNECT_MS),
     lendRepeats: retryLender.lend,
     quarantine,
     limits,
@@ -343,7 +343,7 @@
     isFirstStart: settings.isFirstStart,
     sessions,
     registry,
-    paces: paceMonitor,
+    paceMonitor,
     quarantine,
     recorders: [engineRecorder, gatewayRecorder],
     members,
