--- a/src/engines/take_beat.ts
+++ b/src/engines/apply_heartbeat.ts
@@ -1,10 +1,14 @@
 /**
- * Takes a heartbeat into the registry.
+ * Applies heartbeats to the registry.
  *
  * @module
  */
 
-import { getUpstreamName, isOfEarlierRun, noteRun } from "./newest_runs.ts";
+import {
+  getUpstreamName,
+  isOfEarlierRun,
+  noteRun,
+} from "./newest_incarnations.ts";
 import type {
   EngineBeat,
   EngineRecord,
@@ -13,75 +17,75 @@
   RegistryState,
 } from "./types.ts";
 
-/** What a beat is judged by. */
-export interface TakeBeatOptions {
+/** Options of {@link takeBeat}. */
+export interface ApplyHeartbeatOptions {
   /** Monotonic time, in ms. */
   readonly nowMs: number;
-  /** What is recorded of this upstream's leaving, if anything. */
+  /** The recorded leave of this upstream, if any. */
   readonly leave?: LeaveKind;
 }
 
-/** The registry after a beat. */
-export interface TakenBeat {
+/** The registry after a heartbeat. */
+export interface AppliedHeartbeat {
   readonly state: RegistryState;
-  /** What gateways have to be told; undefined where nothing changed. */
+  /** The record to publish to gateways; undefined if nothing changed. */
   readonly changed: EngineRecord | undefined;
-  /** Runs that the one that beats takes the place of. */
+  /** Incarnations that the sender replaces. */
   readonly displacedIds: readonly string[];
 }
 
-/** Sequence number of an upstream's first beat. */
+/** Sequence number of an upstream's first heartbeat. */
 const FIRST_SEQUENCE = 1;
 
-/** Ms after which a claim is forgotten: several intervals between beats. */
-const CLAIM_AGE_MS = 10_000;
+/** Ms after which a claim expires: several heartbeat intervals. */
+const CLAIM_LIFETIME_MS = 10_000;
 
 /**
- * Ms between two beats that show that their sender lives: beats that a cut held
- * up arrive together. Half of the shortest usual interval between beats.
+ * Ms between two heartbeats that prove that their sender is alive: heartbeats delayed by
+ * a partition arrive together. Half of the shortest usual heartbeat interval.
  */
-const LEAST_BEAT_GAP_MS = 500;
+const MIN_HEARTBEAT_GAP_MS = 500;
 
 /**
- * Takes a heartbeat; a late one changes nothing, and a recorded leave holds
- * whatever the beat says.
+ * Applies a heartbeat. A late one changes nothing, and a recorded leave holds whatever
+ * the heartbeat reports.
  *
  * @param state - The registry.
- * @param beat - The heartbeat.
+ * @param heartbeat - The heartbeat.
  * @param options - The time and the recorded leave.
  * @returns The registry and what changed.
  * @throws Nothing.
  * @example
- * const { state, changed } = takeBeat(registry, beat, { nowMs });
+ * const { state, changed } = applyHeartbeat(registry, heartbeat, { nowMs });
  */
 export function takeBeat(
   state: RegistryState,
-  beat: EngineBeat,
-  options: TakeBeatOptions,
-): TakenBeat {
+  heartbeat: EngineBeat,
+  options: ApplyHeartbeatOptions,
+): AppliedHeartbeat {
   const { nowMs, leave } = options;
-  const known = state.engines.get(beat.engineId);
+  const known = state.engines.get(heartbeat.engineId);
   const unchanged = { state, changed: undefined, displacedIds: [] };
   if (leave === "gone") return unchanged;
-  if (isOfEarlierRun(beat, state.newestRuns)) return unchanged;
-  if (known && beat.sequence <= known.sequence) return unchanged;
-  const earlier = listEarlierRuns(state, beat);
-  const holder = known ? undefined : findHolder(state, beat);
+  if (isOfEarlierRun(heartbeat, state.newestRuns)) return unchanged;
+  if (known && heartbeat.sequence <= known.sequence) return unchanged;
+  const earlier = listEarlierIncarnations(state, heartbeat);
+  const holder = known ? undefined : findHolder(state, heartbeat);
   const isOther = holder && !earlier.includes(holder.record.engineId);
-  if (isOther && !winsAddress(state, beat, { holder, nowMs })) {
-    return { ...unchanged, state: noteClaim(state, beat, nowMs) };
+  if (isOther && !winsAddress(state, heartbeat, { holder, nowMs })) {
+    return { ...unchanged, state: recordClaim(state, heartbeat, nowMs) };
   }
-  const { sequence, ...told } = beat;
+  const { sequence, ...reported } = heartbeat;
   const slowness = known?.record.slowness;
   const record: EngineRecord = {
-    ...told,
-    isLeaving: beat.isLeaving || leave !== undefined,
+    ...reported,
+    isLeaving: heartbeat.isLeaving || leave !== undefined,
     ...(slowness === undefined ? {} : { slowness }),
   };
   const next: RegisteredEngine = { record, sequence, heardMs: nowMs };
-  const engines = new Map(state.engines).set(beat.engineId, next);
+  const engines = new Map(state.engines).set(heartbeat.engineId, next);
   const claims = new Map(state.claims);
-  claims.delete(beat.engineId);
+  claims.delete(heartbeat.engineId);
   const displacedIds = [
     ...earlier,
     ...(isOther ? [holder.record.engineId] : []),
@@ -95,14 +99,14 @@
   };
 }
 
-// Looked up, not searched for: each of 600 engines beats every 1.2 s.
-function listEarlierRuns(
+// A lookup instead of a search: each of 600 engines sends a heartbeat every 1.2 s.
+function listEarlierIncarnations(
   { engines, newestRuns }: RegistryState,
-  beat: EngineBeat,
+  heartbeat: EngineBeat,
 ): string[] {
-  const newest = newestRuns?.get(getUpstreamName(beat));
+  const newest = newestRuns?.get(getUpstreamName(heartbeat));
   const isEarlier = newest !== undefined &&
-    newest.engineId !== beat.engineId && engines.has(newest.engineId);
+    newest.engineId !== heartbeat.engineId && engines.has(newest.engineId);
   return isEarlier ? [newest.engineId] : [];
 }
 
@@ -114,9 +118,9 @@
     .find(({ record }) => record.address === address);
 }
 
-// An address belongs to one upstream. Who starts there is the new one; any other
-// beat may be a late one of a sender that is dead, so it takes a second one, and
-// silence of the present holder in between.
+// An address belongs to one upstream. A first heartbeat shows that its sender has just
+// started there. Any other may be a late one of a terminated sender, so it needs a
+// second heartbeat, and none of the present holder in between.
 function winsAddress(
   state: RegistryState,
   { engineId, sequence }: EngineBeat,
@@ -125,11 +129,11 @@
   if (sequence === FIRST_SEQUENCE) return true;
   const claim = state.claims?.get(engineId);
   return claim !== undefined && sequence > claim.sequence &&
-    nowMs - claim.heardMs >= LEAST_BEAT_GAP_MS &&
+    nowMs - claim.heardMs >= MIN_HEARTBEAT_GAP_MS &&
     holder.heardMs < claim.heardMs;
 }
 
-function noteClaim(
+function recordClaim(
   state: RegistryState,
   { engineId, sequence }: EngineBeat,
   nowMs: number,
@@ -137,17 +141,17 @@
   const known = state.claims?.get(engineId);
   if (known && sequence <= known.sequence) return state;
   const fresh = [...state.claims ?? []]
-    .filter(([, claim]) => nowMs - claim.heardMs < CLAIM_AGE_MS);
+    .filter(([, claim]) => nowMs - claim.heardMs < CLAIM_LIFETIME_MS);
   const claims = new Map(fresh).set(engineId, { sequence, heardMs: nowMs });
   return { ...state, claims };
 }
 
 /**
- * Compares what two records say.
+ * Checks whether two records are equal.
  *
- * @param a - A record.
- * @param b - Another one.
- * @returns Whether they say the same.
+ * @param a - One record.
+ * @param b - The other.
+ * @returns Whether they are equal.
  * @throws Nothing.
  * @example
  * isSameRecord(known, record);
--- /dev/null
+++ b/src/engines/create_heartbeat_clock.ts
@@ -0,0 +1,61 @@
+/**
+ * A clock for heartbeat timeouts that pauses while no upstream's heartbeat arrives.
+ *
+ * The heartbeats of all upstreams arrive over few paths: the control processes that
+ * forward them, and their connections to the leader. If no heartbeat arrives at all,
+ * such a path is partitioned or slow, and a missing heartbeat says nothing about any
+ * single upstream.
+ *
+ * @module
+ */
+
+/** A clock that pauses while no heartbeat arrives. */
+export interface HeartbeatClock {
+  /** Ms for which heartbeats arrived; never decreases. */
+  now(): number;
+  /** Records a heartbeat of any upstream. */
+  noteBeat(): void;
+}
+
+/** Options of {@link createBeatClock}. */
+export interface CreateHeartbeatClockOptions {
+  /** Ms for which heartbeats could be received. */
+  readonly now: () => number;
+  /** Ms without any heartbeat after which the clock pauses. */
+  readonly quietMs: number;
+  /** Ms of pause after which it goes on anyway: all upstreams may have failed. */
+  readonly maxStandMs: number;
+}
+
+/**
+ * Creates the clock, running.
+ *
+ * @param options - The clock that it follows, and when it pauses.
+ * @returns The clock.
+ * @throws Nothing.
+ * @example
+ * const clock = createHeartbeatClock({ now, pauseAfterMs: 750, maxPauseMs: 3_900 });
+ */
+export function createBeatClock(
+  options: CreateHeartbeatClockOptions,
+): HeartbeatClock {
+  const { now, quietMs: thresholdMs, maxStandMs: limitMs } = options;
+  let lastHeartbeatMs = now();
+  // Total duration of the pauses that had ended by the newest heartbeat.
+  let totalPauseMs = 0;
+
+  function getPauseMs(): number {
+    return Math.min(
+      limitMs,
+      Math.max(0, now() - lastHeartbeatMs - thresholdMs),
+    );
+  }
+
+  return {
+    now: () => now() - totalPauseMs - getPauseMs(),
+    noteBeat() {
+      totalPauseMs += getPauseMs();
+      lastHeartbeatMs = now();
+    },
+  };
+}
--- a/src/engines/remove_silent.ts
+++ b/src/engines/remove_unresponsive.ts
@@ -1,46 +1,49 @@
 /**
- * Drops upstreams whose heartbeats stopped.
+ * Removes upstreams from the registry, among them those whose heartbeats stopped.
  *
  * @module
  */
 
 import type { RegistryState } from "./types.ts";
 
-/** When an upstream counts as lost. */
-export interface RemoveSilentOptions {
+/** Options of {@link removeSilent}. */
+export interface RemoveUnresponsiveOptions {
   /** Monotonic time, in ms. */
   readonly nowMs: number;
-  /** Silence, in ms, that is too long. */
+  /** Ms without a heartbeat after which an upstream counts as failed. */
   readonly silenceMs: number;
 }
 
 /**
- * Drops the upstreams that were silent for too long.
+ * Removes the upstreams that have sent no heartbeat for too long.
  *
  * @param state - The registry.
- * @param options - The time and the silence.
+ * @param options - The time and the timeout.
  * @returns The registry without them, and their ids.
  * @throws Nothing.
  * @example
- * const { state, lost } = removeSilent(registry, { nowMs, silenceMs: 3_000 });
+ * const { state, lost } = removeUnresponsive(registry, {
+ *   nowMs,
+ *   heartbeatTimeoutMs: 3_000,
+ * });
  */
 export function removeSilent(
   state: RegistryState,
-  options: RemoveSilentOptions,
+  options: RemoveUnresponsiveOptions,
 ): { readonly state: RegistryState; readonly lost: readonly string[] } {
-  const { nowMs, silenceMs } = options;
+  const { nowMs, silenceMs: timeoutMs } = options;
   const lost = [...state.engines]
-    .filter(([, engine]) => nowMs - engine.heardMs > silenceMs)
+    .filter(([, engine]) => nowMs - engine.heardMs > timeoutMs)
     .map(([id]) => id);
   if (lost.length === 0) return { state, lost };
   return { state: removeEngines(state, lost), lost };
 }
 
 /**
- * Drops upstreams by id.
+ * Removes upstreams by id.
  *
  * @param state - The registry.
- * @param ids - The upstreams to drop.
+ * @param ids - The upstreams to remove.
  * @returns The registry without them.
  * @throws Nothing.
  * @example
--- a/src/fleet/create_pace_watch.ts
+++ b/src/fleet/create_pace_watch.ts
@@ -1,5 +1,5 @@
 /**
- * Asks engines how slow they are, while gateways tell of slow streams.
+ * Polls engines for their slowness while gateways report slow streams.
  *
  * @module
  */
@@ -10,115 +10,122 @@
   EngineRecord,
 } from "../engines/index.ts";
 
-/** Reads an engine's own word on its pace; rejects where it gives none. */
+/**
+ * Reads the pace that an engine reports about itself, as a multiple of its usual time;
+ * rejects if it reports none.
+ */
 export type ReadPace = (
   address: string,
   options: EngineCallOptions,
 ) => Promise<number>;
 
-/** What the watch needs of its program. */
-export interface CreatePaceWatchOptions {
-  /** Engines of which a request passes several. */
+/** Dependencies of {@link createPaceMonitor}. */
+export interface CreatePaceMonitorOptions {
+  /** Engines of pipelines, where a request passes through several of them. */
   readonly getEngines: () => readonly EngineRecord[];
   readonly readPace: ReadPace;
   readonly onPace: (engineId: string, pace: number) => void;
-  /** Called with what an engine says of itself in its answer. */
+  /** Called with the notice that an engine's response carries. */
   readonly onNotice?: (engineId: string, notice: EngineNotice) => void;
   /** Monotonic time, in ms. */
   readonly now: () => number;
 }
 
-/** Asks engines how slow they are. */
-export interface PaceWatch {
-  /** A gateway tells over which engines slow streams run. */
-  noteSlow(engineIds: readonly string[]): void;
-  /** Asks if it is time to. */
+/** Polls engines for their slowness. */
+export interface PaceMonitor {
+  /** Records a gateway's report of the engines over which slow streams run. */
+  recordSlow(engineIds: readonly string[]): void;
+  /** Polls engines, if a round is due. */
   tick(): Promise<void>;
 }
 
-/** Ms between two rounds of questions. */
+/** Minimum ms between two polling rounds. */
 const ROUND_INTERVAL_MS = 900;
 
-/** Ms for which rounds go on after the last sign of slowness. */
-const WATCH_MS = 2_500;
+/** Ms for which a report of slow streams counts. */
+const REPORT_LIFETIME_MS = 2_500;
 
 /**
- * Engines that are asked in a round, at most. Of hundreds of gateways one always
- * has a slow stream, and each names the engines of a whole path: the slow one is
- * named by most of them. Rounds that ask all of 216 engines are 240 questions a
- * second, whatever happens.
+ * Maximum number of engines polled per round. With hundreds of gateways there is always
+ * one with a slow stream, and each reports all engines of a path: the slow engine is
+ * reported by most of them. Polling all of 216 engines in each round would be a
+ * constant 240 calls per second.
  */
-const MAX_ASKED = 16;
+const MAX_POLLED = 16;
 
-/** Gateways, or beats of one, that have to name an engine before it is asked. */
-const LEAST_NAMINGS = 2;
+/** Reports, of several gateways or of one, that have to name an engine to poll it. */
+const MIN_REPORTS = 2;
 
-/** Ms for an answer. */
-const TIMEOUT_MS = 500;
+/** Deadline of a poll, in ms. */
+const POLL_TIMEOUT_MS = 500;
 
-interface Naming {
+interface SlowReport {
   readonly atMs: number;
   readonly engineIds: readonly string[];
 }
 
 /**
- * Makes the watch. A calm fleet is asked nothing; engines that were slow are
- * asked until they no longer are.
+ * Creates the monitor. Without reports of slow streams nothing is polled, except that
+ * slow engines are polled until they have recovered.
  *
- * @param options - The engines, and who hears of their pace.
- * @returns The watch.
+ * @param options - The engines, and where their pace is reported.
+ * @returns The monitor.
  * @throws Nothing.
  * @example
- * const watch = createPaceWatch(options);
+ * const monitor = createPaceMonitor(options);
  */
-export function createPaceWatch(options: CreatePaceWatchOptions): PaceWatch {
+export function createPaceMonitor(
+  options: CreatePaceMonitorOptions,
+): PaceMonitor {
   const { now, onNotice = () => {} } = options;
-  let namings: Naming[] = [];
-  let askedMs = -Infinity;
+  let slowReports: SlowReport[] = [];
+  let lastRoundMs = -Infinity;
 
-  async function ask(engine: EngineRecord): Promise<void> {
+  async function poll(engine: EngineRecord): Promise<void> {
     const { address, engineId } = engine;
     try {
       const pace = await options.readPace(address, {
-        timeoutMs: TIMEOUT_MS,
+        timeoutMs: POLL_TIMEOUT_MS,
         onNotice: (notice) => onNotice(engineId, notice),
       });
       options.onPace(engineId, pace);
     } catch {
-      // Silence is the business of beats and suspicions.
+      // Unresponsive engines are detected by missing heartbeats and gateways' reports.
     }
   }
 
-  function countNamings(): Map<string, number> {
-    namings = namings.filter(({ atMs }) => now() - atMs < WATCH_MS);
+  function countReports(): Map<string, number> {
+    slowReports = slowReports.filter(({ atMs }) =>
+      now() - atMs < REPORT_LIFETIME_MS
+    );
     const counts = new Map<string, number>();
-    for (const engineId of namings.flatMap((one) => one.engineIds)) {
+    for (const engineId of slowReports.flatMap((one) => one.engineIds)) {
       counts.set(engineId, (counts.get(engineId) ?? 0) + 1);
     }
     return counts;
   }
 
-  // Those known to be slow first, then those that were named most often.
-  function listAsked(): EngineRecord[] {
-    const counts = countNamings();
+  // Engines known to be slow first, then those with the most reports.
+  function listEnginesToPoll(): EngineRecord[] {
+    const counts = countReports();
     const rank = ({ engineId, slowness }: EngineRecord) =>
       slowness === undefined ? counts.get(engineId) ?? 0 : Infinity;
     return options.getEngines()
-      .filter((engine) => rank(engine) >= LEAST_NAMINGS)
+      .filter((engine) => rank(engine) >= MIN_REPORTS)
       .sort((a, b) => rank(b) === rank(a) ? 0 : rank(b) - rank(a))
-      .slice(0, MAX_ASKED);
+      .slice(0, MAX_POLLED);
   }
 
   return {
-    noteSlow(engineIds) {
-      if (engineIds.length > 0) namings.push({ atMs: now(), engineIds });
+    recordSlow(engineIds) {
+      if (engineIds.length > 0) slowReports.push({ atMs: now(), engineIds });
     },
     async tick() {
-      if (now() - askedMs < ROUND_INTERVAL_MS) return;
-      const asked = listAsked();
-      if (asked.length === 0) return;
-      askedMs = now();
-      await Promise.all(asked.map(ask));
+      if (now() - lastRoundMs < ROUND_INTERVAL_MS) return;
+      const polled = listEnginesToPoll();
+      if (polled.length === 0) return;
+      lastRoundMs = now();
+      await Promise.all(polled.map(poll));
     },
   };
 }
--- a/src/fleet/create_quarantine_desk.ts
+++ b/src/fleet/create_quarantine_desk.ts
@@ -1,6 +1,6 @@
 /**
- * The leader's part of the quarantine: records which upstreams ended under which
- * requests, gives out trials, says who is held back and for how long.
+ * The leader's part of the quarantine: records which upstreams crashed under which
+ * requests, grants trial runs, and decides which requests are held back for how long.
  *
  * @module
  */
@@ -23,20 +23,20 @@
 
 type CasesMessage = LeaderMessage & { type: "cases" };
 
-/** What the desk needs of its program. */
-export interface CreateQuarantineDeskOptions {
+/** Dependencies of {@link createQuarantineCoordinator}. */
+export interface CreateQuarantineCoordinatorOptions {
   readonly getCases: () => CrashCases;
   /** Resolves once the command is committed and applied. */
   readonly propose: (command: FleetCommand) => Promise<unknown>;
-  /** Tells all gateways. */
+  /** Sends a message to all gateways. */
   readonly publish: (message: CasesMessage) => void;
   /** Monotonic time, in ms. */
   readonly now: () => number;
   readonly log: Logger;
 }
 
-/** What a gateway tells of suspected requests. */
-export interface QuarantineNews {
+/** A gateway's reports on suspected requests. */
+export interface QuarantineReports {
   readonly crashes?: readonly CrashReport[];
   readonly proved?: readonly string[];
   readonly trialsEnded?: readonly string[];
@@ -44,69 +44,69 @@
 
 /** The leader's part of the quarantine. */
 export interface QuarantineDesk {
-  /** Takes what a gateway tells. */
-  take(vm: string, news: QuarantineNews): void;
-  /** Gives out a trial: the upstream where the request may begin, if any. */
-  grantTrial(vm: string, wish: TrialWish): string | undefined;
+  /** Handles a gateway's reports. */
+  take(vm: string, reports: QuarantineReports): void;
+  /** Grants a trial run: returns the upstream where the request may start, if any. */
+  grantTrial(vm: string, request: TrialWish): string | undefined;
   /** All cases, for operators and for gateways that join. */
   list(): readonly ToldCase[];
-  /** Lets a request go free. */
+  /** Clears the case of a request. */
   lift(requestKey: string): Promise<void>;
   /** Called on every replica after each change of the cases. */
-  noteChange(options: { readonly isLeader: boolean }): void;
-  /** Forgets what is old; for the leader only. */
+  handleChange(options: { readonly isLeader: boolean }): void;
+  /** Clears expired cases; for the leader only. */
   tick(): void;
 }
 
-/** A request that runs as the only suspect of its upstream. */
+/** A trial run: a request that runs as the only suspect on its upstream. */
 interface Trial {
   readonly vm: string;
   readonly engineId: string;
-  readonly untilMs: number;
+  readonly expiresMs: number;
 }
 
-/** Ms for which reports are gathered into one entry of the log. */
-const GATHER_MS = 3;
+/** Ms for which reports are batched into one log entry. */
+const BATCH_MS = 3;
 
 /**
- * Makes the desk. Times count from when this process first saw a change: a
- * replica that starts again holds convicted requests back for longer, never for
- * less.
+ * Creates the coordinator. Times count from when this process first saw a change: a
+ * replica that restarts holds convicted requests back for longer, never for less.
  *
- * @param options - The cases, how they are changed, who is told.
- * @returns The desk.
+ * @param options - The cases, how they are changed, where they are published.
+ * @returns The coordinator.
  * @throws Nothing.
  * @example
- * const desk = createQuarantineDesk({ getCases, propose, publish, now, log });
+ * const coordinator = createQuarantineCoordinator({ getCases, propose, publish, now, log });
  */
-export function createQuarantineDesk(
-  options: CreateQuarantineDeskOptions,
+export function createQuarantineCoordinator(
+  options: CreateQuarantineCoordinatorOptions,
 ): QuarantineDesk {
   const { getCases, propose, now, log } = options;
   const trials = new Map<string, Trial>();
-  const seen = new Map<
+  const trackedCases = new Map<
     string,
     { readonly crashCase: CrashCase; readonly changedMs: number }
   >();
-  let told: CrashCases = new Map();
-  let reports: JudgedReport[] = [];
-  let clearing = new Set<string>();
-  let gathering: ReturnType<typeof setTimeout> | undefined;
-
-  function gather(): void {
-    gathering ??= setTimeout(() => {
-      gathering = undefined;
-      const requestKeys = [...clearing];
-      const taken = reports;
-      reports = [];
-      clearing = new Set();
-      if (taken.length > 0) change({ type: "crashes", reports: taken });
-      if (requestKeys.length > 0) change({ type: "casesCleared", requestKeys });
-    }, GATHER_MS);
+  let published: CrashCases = new Map();
+  let pendingReports: JudgedReport[] = [];
+  let pendingClears = new Set<string>();
+  let batchTimer: ReturnType<typeof setTimeout> | undefined;
+
+  function scheduleBatch(): void {
+    batchTimer ??= setTimeout(() => {
+      batchTimer = undefined;
+      const requestKeys = [...pendingClears];
+      const taken = pendingReports;
+      pendingReports = [];
+      pendingClears = new Set();
+      if (taken.length > 0) submit({ type: "crashes", reports: taken });
+      if (requestKeys.length > 0) submit({ type: "casesCleared", requestKeys });
+    }, BATCH_MS);
   }
 
-  // What fails here is told again: gateways repeat what the list does not say.
-  function change(command: FleetCommand): void {
+  // A failed proposal needs no retry: gateways repeat reports that the published
+  // cases don't reflect.
+  function submit(command: FleetCommand): void {
     propose(command).catch((error) => log("casesNotRecorded", { error }));
   }
 
@@ -114,14 +114,15 @@
     return [...trials].find(([, trial]) => trial.engineId === engineId);
   }
 
-  function dropEndedTrials(): void {
+  function removeEndedTrials(): void {
     for (const [key, trial] of trials) {
-      if (now() >= trial.untilMs || !getCases().has(key)) trials.delete(key);
+      if (now() >= trial.expiresMs || !getCases().has(key)) trials.delete(key);
     }
   }
 
-  // What ends under a trial is put down to it, and to nobody beside it.
-  function takeReport(vm: string, report: CrashReport): void {
+  // A crash during a trial run counts against that request only, not against the
+  // requests that ran on the upstream at the same time.
+  function handleCrashReport(vm: string, report: CrashReport): void {
     const { requestKey, engineId } = report;
     const cases = getCases();
     if (cases.get(requestKey)?.engineIds.includes(engineId)) return;
@@ -129,26 +130,26 @@
     const [key, trial] = findTrial(engineId) ?? [];
     if (key !== undefined && key !== requestKey) return;
     const isTrial = trial?.vm === vm;
-    const isKnown = reports.some((one) =>
+    const isKnown = pendingReports.some((one) =>
       one.requestKey === requestKey && one.engineId === engineId
     );
-    if (!isKnown) reports.push({ ...report, isTrial });
+    if (!isKnown) pendingReports.push({ ...report, isTrial });
   }
 
-  function look(): void {
+  function trackChanges(): void {
     const cases = getCases();
-    for (const key of seen.keys()) {
-      if (!cases.has(key)) seen.delete(key);
+    for (const key of trackedCases.keys()) {
+      if (!cases.has(key)) trackedCases.delete(key);
     }
     for (const [key, crashCase] of cases) {
-      if (seen.get(key)?.crashCase !== crashCase) {
-        seen.set(key, { crashCase, changedMs: now() });
+      if (trackedCases.get(key)?.crashCase !== crashCase) {
+        trackedCases.set(key, { crashCase, changedMs: now() });
       }
     }
   }
 
   function getAgeMs(requestKey: string): number {
-    return now() - (seen.get(requestKey)?.changedMs ?? now());
+    return now() - (trackedCases.get(requestKey)?.changedMs ?? now());
   }
 
   function getHeldMs({ requestKey, convictions }: CrashCase): number {
@@ -162,28 +163,28 @@
   }
 
   function list(): ToldCase[] {
-    look();
+    trackChanges();
     return [...getCases().values()].map(describe);
   }
 
-  function tellChange(): void {
+  function publishChanges(): void {
     const cases = getCases();
     const changed = [...cases.values()]
-      .filter((one) => told.get(one.requestKey) !== one);
-    const cleared = [...told.keys()].filter((key) => !cases.has(key));
+      .filter((one) => published.get(one.requestKey) !== one);
+    const cleared = [...published.keys()].filter((key) => !cases.has(key));
     changed.filter(isNewConviction).forEach(logConviction);
-    told = cases;
+    published = cases;
     if (changed.length + cleared.length === 0) return;
-    const message = changed.map(describe);
+    const describedCases = changed.map(describe);
     options.publish({
       type: "cases",
-      cases: message,
+      cases: describedCases,
       cleared,
     });
   }
 
   function isNewConviction({ requestKey, convictions }: CrashCase): boolean {
-    return convictions > (told.get(requestKey)?.convictions ?? 0);
+    return convictions > (published.get(requestKey)?.convictions ?? 0);
   }
 
   function logConviction(crashCase: CrashCase): void {
@@ -200,29 +201,30 @@
 
   return {
     take(vm, { crashes = [], proved = [], trialsEnded = [] }) {
-      dropEndedTrials();
-      // The reports first: the end of an upstream is the end of its trial.
-      for (const report of crashes) takeReport(vm, report);
+      removeEndedTrials();
+      // Crash reports first: a crash must still be matched with its trial run before
+      // the end of the trial is handled.
+      for (const report of crashes) handleCrashReport(vm, report);
       for (const key of trialsEnded) {
         if (trials.get(key)?.vm === vm) trials.delete(key);
       }
-      for (const key of proved) if (getCases().has(key)) clearing.add(key);
-      if (reports.length + clearing.size > 0) gather();
+      for (const key of proved) if (getCases().has(key)) pendingClears.add(key);
+      if (pendingReports.length + pendingClears.size > 0) scheduleBatch();
     },
     grantTrial(vm, { requestKey, engineIds }) {
-      dropEndedTrials();
+      removeEndedTrials();
       const crashCase = getCases().get(requestKey);
       if (!crashCase || !needsTrial(crashCase)) return undefined;
       if (getHeldMs(crashCase) > 0) return undefined;
       const running = trials.get(requestKey);
       if (running && running.vm !== vm) return undefined;
-      // One that asks again is given the same, or another where that is gone.
+      // A repeated request gets the same upstream, or another one if that has departed.
       const isSame = running && engineIds.includes(running.engineId);
       if (isSame) return running.engineId;
       trials.delete(requestKey);
       const engineId = engineIds.find((id) => !findTrial(id));
       if (engineId === undefined) return undefined;
-      trials.set(requestKey, { vm, engineId, untilMs: now() + MAX_TRIAL_MS });
+      trials.set(requestKey, { vm, engineId, expiresMs: now() + MAX_TRIAL_MS });
       log("trialGranted", { requestKey, vm, engineId });
       return engineId;
     },
@@ -231,17 +233,17 @@
       await propose({ type: "casesCleared", requestKeys: [requestKey] });
       log("casesCleared", { requestKeys: [requestKey], reason: "lifted" });
     },
-    noteChange({ isLeader }) {
-      look();
-      if (isLeader) tellChange();
+    handleChange({ isLeader }) {
+      trackChanges();
+      if (isLeader) publishChanges();
     },
     tick() {
-      look();
+      trackChanges();
       const old = [...getCases().values()].filter(isOld);
       if (old.length === 0) return;
       const requestKeys = old.map((one) => one.requestKey);
       log("casesCleared", { requestKeys, reason: "old" });
-      change({ type: "casesCleared", requestKeys });
+      submit({ type: "casesCleared", requestKeys });
     },
   };
 }
--- a/src/fleet/create_rollout_watch.ts
+++ b/src/fleet/create_rollout_watch.ts
@@ -1,6 +1,6 @@
 /**
- * Follows the newest configuration from its acceptance until it is in force at all
- * gateways.
+ * Tracks the rollout of the newest configuration, from its acceptance until it is in
+ * force at all gateways.
  *
  * @module
  */
@@ -8,21 +8,21 @@
 import type { Logger } from "../logs/index.ts";
 import type { Metrics } from "../metrics/index.ts";
 
-/** What the watch needs of its program. */
-export interface CreateRolloutWatchOptions {
+/** Dependencies of {@link createRolloutWatch}. */
+export interface CreateRolloutTrackerOptions {
   /** Monotonic time, in ms. */
   readonly now: () => number;
   readonly log: Logger;
   readonly metrics: Pick<Metrics, "gauge" | "timing">;
 }
 
-/** Follows the newest configuration. */
-export interface RolloutWatch {
-  /** Notes that a version was accepted; earlier ones are no longer followed. */
+/** Tracks the rollout of the newest configuration. */
+export interface RolloutTracker {
+  /** Records that a version was accepted; earlier ones are no longer tracked. */
   noteAccepted(version: number): void;
-  /** Notes the version in force at a gateway. */
+  /** Records the version in force at a gateway. */
   noteHeld(vm: string, version: number): void;
-  /** Forgets a gateway whose session ended. */
+  /** Removes a gateway whose session has ended. */
   forget(vm: string): void;
   /** Ms since the newest version was accepted. */
   getAgeMs(): number;
@@ -31,38 +31,38 @@
 }
 
 /**
- * Makes the watch.
+ * Creates the tracker.
  *
- * @param options - The time, logs and metrics.
- * @returns The watch, without a version.
+ * @param options - The clock, the log and the metrics.
+ * @returns The tracker, without a version.
  * @throws Nothing.
  * @example
- * const rollout = createRolloutWatch({ now, log, metrics });
+ * const rollout = createRolloutTracker({ now, log, metrics });
  */
 export function createRolloutWatch(
-  options: CreateRolloutWatchOptions,
-): RolloutWatch {
+  options: CreateRolloutTrackerOptions,
+): RolloutTracker {
   const { now, log, metrics } = options;
-  const held = new Map<string, number>();
+  const appliedVersions = new Map<string, number>();
   let newest = -1;
   let acceptedMs = now();
   let isInForce = true;
 
   function listLagging(): string[] {
-    return [...held]
+    return [...appliedVersions]
       .filter(([, version]) => version < newest)
       .map(([vm]) => vm);
   }
 
   function checkInForce(lastVm: string): void {
-    if (isInForce || held.size === 0) return;
+    if (isInForce || appliedVersions.size === 0) return;
     const lagging = listLagging();
     metrics.gauge("config.lagging", lagging.length);
     if (lagging.length > 0) return;
     isInForce = true;
     const tookMs = Math.round(now() - acceptedMs);
     metrics.timing("config.rollout_ms", tookMs);
-    const gateways = held.size;
+    const gateways = appliedVersions.size;
     log("configInForce", { version: newest, tookMs, gateways, lastVm });
   }
 
@@ -73,11 +73,11 @@
       isInForce = false;
     },
     noteHeld(vm, version) {
-      held.set(vm, version);
+      appliedVersions.set(vm, version);
       checkInForce(vm);
     },
     forget(vm) {
-      if (held.delete(vm)) checkInForce(vm);
+      if (appliedVersions.delete(vm)) checkInForce(vm);
     },
     getAgeMs: () => now() - acceptedMs,
     listLagging,
--- a/src/fleet/fleet_parts_test.ts
+++ b/src/fleet/fleet_parts_test.ts
@@ -18,14 +18,14 @@
   for (const command of commands) machine.apply(JSON.stringify(command));
 }
 
-test("a document comes out of its packing as it went in", () => {
+test("packing and unpacking a document gives the same document", () => {
   const document = `{ "version": 7, "routes": [${"é,".repeat(500)}] }`;
   const packed = packDocument(document);
   assert.is(unpackDocument(packed), document);
   assert.ok(packed.length < document.length / 5);
 });
 
-test("each gateway is told the others' work, not its own", () => {
+test("the load of the other gateways is the sum without a gateway's own", () => {
   const one = { a: { tokens: 5, requests: 1 }, b: { tokens: 7, requests: 0 } };
   const two = { a: { tokens: 2, requests: 1 } };
   const sum = sumLoads([one, two]);
@@ -34,11 +34,11 @@
   assert.equal(subtractLoads(sum, two), one);
 });
 
-test("the highest version holds, whatever comes later", () => {
-  const told: number[] = [];
+test("a lower or equal version that is applied later does not replace the highest", () => {
+  const accepted: number[] = [];
   const machine = createFleetMachine({
     onChange: (command) => {
-      if (command.type === "putConfig") told.push(command.version);
+      if (command.type === "putConfig") accepted.push(command.version);
     },
   });
   apply(
@@ -49,10 +49,10 @@
     putConfig(7, "other seven"),
   );
   assert.is(machine.getAccepted()?.packed, "seven");
-  assert.equal(told, [3, 7]);
+  assert.equal(accepted, [3, 7]);
 });
 
-test("a leave is never taken back, and gone is final", () => {
+test("a leave is never undone, and gone is final", () => {
   const machine = createFleetMachine();
   apply(
     machine,
@@ -62,7 +62,7 @@
   assert.is(machine.getLeave("e"), "gone");
 });
 
-test("gateways that were counted on are there after a restart", () => {
+test("recorded gateways survive a restart", () => {
   const [first, second] = ["g1", "g2"].map((vm) => ({
     vm,
     place: "a",
@@ -76,14 +76,14 @@
     { type: "gateways", changed, lost: [] },
     { type: "gateways", changed: [{ ...first, isReady: false }], lost: ["g2"] },
   );
-  const again = createFleetMachine();
-  again.restore(machine.save());
-  assert.equal([...again.getGateways().values()], [
+  const restored = createFleetMachine();
+  restored.restore(machine.save());
+  assert.equal([...restored.getGateways().values()], [
     { ...first, isReady: false },
   ]);
 });
 
-test("what was applied is there after a restart, bounded", () => {
+test("applied commands survive a restart, and the number of leaves is bounded", () => {
   const machine = createFleetMachine({ maxLeaves: 2 });
   apply(
     machine,
@@ -92,11 +92,11 @@
     { type: "leave", engineId: "b", kind: "gone" },
     { type: "leave", engineId: "c", kind: "draining" },
   );
-  const again = createFleetMachine();
-  again.restore(machine.save());
-  assert.is(again.getAccepted()?.packed, "three");
-  assert.is(again.getLeave("a"), undefined);
-  assert.is(again.getLeave("c"), "draining");
+  const restored = createFleetMachine();
+  restored.restore(machine.save());
+  assert.is(restored.getAccepted()?.packed, "three");
+  assert.is(restored.getLeave("a"), undefined);
+  assert.is(restored.getLeave("c"), "draining");
 });
 
 test.run();
--- a/src/fleet/session_messages.ts
+++ b/src/fleet/session_messages.ts
@@ -1,13 +1,12 @@
 /**
- * Writes the messages of a session between a gateway and the leader for the
- * wire, and reads them.
+ * Encodes and decodes the messages of a session between a gateway and the leader.
  *
- * Measured with 221 engines and 200 gateways, each with 40 engines in its loads:
- * the list of all engines takes 3.7 KB in place of 42.5 KB of JSON text, the sum
- * of all loads 1.2 KB in place of 9.5 KB, one gateway's loads 0.2 KB in place of
- * 1.7 KB (session_messages_test.ts). A new leader tells the list to all gateways:
- * as text that is 8.5 MB, 0.7 s of a link of 100 Mbit/s and longer than followers
- * wait for a heartbeat.
+ * With 221 engines and 200 gateways, each with 40 engines in its loads, the list of all
+ * engines takes 3.7 KB instead of 42.5 KB of JSON text, the sum of all loads 1.2 KB
+ * instead of 9.5 KB, and one gateway's loads 0.2 KB instead of 1.7 KB
+ * (session_messages_test.ts). A new leader sends the list to all gateways: as text that
+ * is 8.5 MB, which takes 0.7 s on a link of 100 Mbit/s, longer than followers wait for
+ * a heartbeat.
  *
  * @module
  */
@@ -22,16 +21,16 @@
   LeaderMessage,
 } from "./messages.ts";
 
-/** Characters of text from which on a message is packed: short ones gain nothing. */
-const PACKED_FROM_CHARS = 400;
+/** Minimum length of a message that is compressed; shorter ones gain nothing. */
+const MIN_PACKED_CHARS = 400;
 
 /**
- * Writes a message of the leader. What it tells all gateways is written once
- * and sent to each.
+ * Encodes a message of the leader. A message to all gateways is encoded once and sent
+ * to each.
  *
  * @param message - The message.
- * @param numbers - The leader's numbers; engines that are told get one.
- * @returns The message for the wire.
+ * @param numbers - The leader's engine numbers; engines in the message are assigned one.
+ * @returns The encoded message.
  * @throws Nothing.
  * @example
  * stream.write(formatLeaderMessage({ type: "loads", loads }, numbers));
@@ -53,12 +52,12 @@
 }
 
 /**
- * Reads a message of the leader.
+ * Decodes a message of the leader.
  *
- * @param received - The message from the wire.
- * @param numbers - The session's numbers; those that are told are learnt.
+ * @param received - The encoded message.
+ * @param numbers - The session's engine numbers; those in the message are added.
  * @returns The message.
- * @throws {Error} When it was not written by {@link formatLeaderMessage}.
+ * @throws {Error} When it was not encoded by {@link formatLeaderMessage}.
  * @example
  * const message = parseLeaderMessage(received, numbers);
  */
@@ -85,14 +84,14 @@
 }
 
 /**
- * Writes a message of a gateway.
+ * Encodes a message of a gateway.
  *
  * @param message - The message.
- * @param numbers - The session's numbers.
- * @returns The message for the wire.
+ * @param numbers - The session's engine numbers.
+ * @returns The encoded message.
  * @throws Nothing.
  * @example
- * stream.write(formatGatewayMessage(beat, numbers));
+ * stream.write(formatGatewayMessage(heartbeat, numbers));
  */
 export function formatGatewayMessage(
   message: GatewayMessage,
@@ -101,20 +100,20 @@
   if (message.type !== "beat" || !message.loads) {
     return makeMessage({ json: JSON.stringify(message) });
   }
-  const { loads, ...rest } = message;
+  const { loads, ...otherFields } = message;
   return makeMessage({
-    json: JSON.stringify(rest),
+    json: JSON.stringify(otherFields),
     loads: numbers.formatLoads(loads),
   });
 }
 
 /**
- * Reads a message of a gateway.
+ * Decodes a message of a gateway.
  *
- * @param received - The message from the wire.
- * @param numbers - The leader's numbers.
+ * @param received - The encoded message.
+ * @param numbers - The leader's engine numbers.
  * @returns The message.
- * @throws {Error} When it was not written by {@link formatGatewayMessage}.
+ * @throws {Error} When it was not encoded by {@link formatGatewayMessage}.
  * @example
  * const message = parseGatewayMessage(received, numbers);
  */
@@ -138,7 +137,7 @@
 }
 
 function packText(json: string): Pick<wire.FleetMessage, "json" | "packed"> {
-  if (json.length < PACKED_FROM_CHARS) {
+  if (json.length < MIN_PACKED_CHARS) {
     return { json, packed: Buffer.alloc(0) };
   }
   return { json: "", packed: deflateRawSync(Buffer.from(json, "utf8")) };
--- a/src/fleet/start_fleet_control.ts
+++ b/src/fleet/start_fleet_control.ts
@@ -1,7 +1,7 @@
 /**
- * The control side of a fleet whose upstreams and gateways register
- * themselves: a quorum that holds the accepted configuration, and a leader
- * that tells the gateways.
+ * The control plane of a fleet whose upstreams and gateways register themselves: a
+ * quorum that stores the accepted configuration, and a leader that publishes it to the
+ * gateways.
  *
  * @module
  */
@@ -29,19 +29,16 @@
   createLayerKeeper,
   type SendLayerOrder,
 } from "./create_layer_keeper.ts";
-import { createLeaderCaller } from "./create_leader_caller.ts";
-import { createLeaderDesk } from "./create_leader_desk.ts";
-import {
-  createLeaderRounds,
-  VOTER_SILENCE_MS,
-} from "./create_leader_rounds.ts";
+import { createLeaderClient } from "./create_leader_client.ts";
+import { createLeaderCallHandler } from "./create_leader_call_handler.ts";
+import { createLeaderLoop, VOTER_TIMEOUT_MS } from "./create_leader_loop.ts";
 import { createLimitDesk } from "./create_limit_desk.ts";
-import { createMemberKeeper } from "./create_member_keeper.ts";
-import { createPaceWatch, type ReadPace } from "./create_pace_watch.ts";
-import { createQuarantineDesk } from "./create_quarantine_desk.ts";
+import { createMembershipManager } from "./create_membership_manager.ts";
+import { createPaceMonitor, type ReadPace } from "./create_pace_watch.ts";
+import { createQuarantineCoordinator } from "./create_quarantine_desk.ts";
 import {
   createRepeatLender,
-  type RepeatBounds,
+  type FleetRetryBudget,
 } from "./create_repeat_lender.ts";
 import type { DecodeConfig, FleetCall, FleetReply } from "./messages.ts";
 import { type FleetSeed, openFleetStorage } from "./open_fleet_storage.ts";
@@ -50,35 +47,35 @@
 
 /** Settings of a control process. */
 export interface FleetControlSettings {
-  /** Names the fleet; other fleets are refused. */
+  /** Name of the fleet; processes of other fleets are rejected. */
   readonly fleetId: string;
-  /** Where operators and upstreams reach this process; names it in the quorum. */
+  /** Address for operators and upstreams; also this process's name in the quorum. */
   readonly callerAddress: string;
-  /** Where the other processes of the system reach it. */
+  /** Address for the other processes of the system. */
   readonly peerAddress: string;
   /**
-   * Folder that outlives the process; absent where there is no disk: it then
-   * follows, passes calls on and never votes.
+   * Folder that persists across restarts; absent if there is no disk: the process then
+   * follows, forwards calls and never votes.
    */
   readonly dataFolder?: string;
-  /** Whether the cluster is formed now, by all first voters together. */
+  /** Whether all initial voters form a new cluster together. */
   readonly isFirstStart: boolean;
-  /** Voters that losses leave enough of. */
+  /** Number of voters that tolerates the expected failures. */
   readonly voters: number;
-  /** Ms between two beats of an upstream. */
+  /** Ms between two heartbeats of an upstream. */
   readonly beatIntervalMs: number;
-  /** Bound on the repeats of all gateways together. */
-  readonly repeats: RepeatBounds;
+  /** Retry budget of all gateways together. */
+  readonly repeats: FleetRetryBudget;
   /**
-   * Monotonic time, in ms, at which this process started: no leader reached it
-   * before. That of the call by default.
+   * Monotonic time, in ms, at which this process started: no leader can have contacted
+   * it before. Defaults to the time of the call.
    */
   readonly processStartedMs?: number;
 }
 
 /** Options of {@link startFleetControl}. */
 export interface StartFleetControlOptions {
-  /** Control processes to begin with; read anew whenever they are needed. */
+  /** Control processes to contact first; read again whenever they are needed. */
   readonly getSeeds: () => readonly FleetSeed[];
   readonly decodeConfig: DecodeConfig;
   readonly sendLayerOrder: SendLayerOrder;
@@ -90,15 +87,15 @@
 
 /** A running control process. */
 export interface FleetControl {
-  /** Answers a call itself where it leads, and passes it on elsewhere. */
+  /** Answers a call if this process leads; forwards it to the leader otherwise. */
   call(call: FleetCall): Promise<FleetReply>;
-  /** Where upstreams and operators reach the leader; empty if not known. */
+  /** Address of the leader for upstreams and operators; empty if unknown. */
   getLeaderCallerAddress(): string;
   getState(): QuorumState;
   stop(): Promise<void>;
 }
 
-/** Times of the quorum, in ms: a leader's loss is felt for about a second. */
+/** Quorum timing, in ms: a failed leader is replaced within about 1 s. */
 const QUORUM_TIMING: QuorumTiming = {
   electionTimeoutMs: 500,
   electionJitterMs: 250,
@@ -106,42 +103,43 @@
   leaseMs: 400,
 };
 
-/** Ms since the last word of a leader for which gateways are sent to it. */
-const LEADER_FRESH_MS = 1.5 * QUORUM_TIMING.heartbeatIntervalMs;
+/** Ms since the leader's last message for which gateways are redirected to it. */
+const LEADER_CONTACT_MAX_AGE_MS = 1.5 * QUORUM_TIMING.heartbeatIntervalMs;
 
-/** Entries between two snapshots. */
+/** Log entries between two snapshots. */
 const SNAPSHOT_ENTRIES = 200;
 
-/** Ms between two looks at leases, gaps and members. */
+/** Ms between two rounds of the leader's periodic work. */
 const TICK_INTERVAL_MS = 250;
 
 /**
- * Ms for which a new leader takes no configuration while there are fewer
- * voters than the losses to be borne ask for. Afterwards it takes them all the
- * same: there may be no more disks.
+ * Ms for which a new leader accepts no configuration while there are fewer voters than
+ * the tolerated failures require. Afterwards it accepts them anyway: there may be no
+ * more processes with a disk.
  */
-const VOTERS_WAIT_MS = 10_000;
+const MAX_VOTERS_WAIT_MS = 10_000;
 
-/** Beats that an upstream may miss before it counts as lost. */
-const BEATS_OF_SILENCE = 2.6;
+/** Heartbeat timeout of an upstream, in heartbeat intervals. */
+const HEARTBEAT_TIMEOUT_INTERVALS = 2.6;
 
 /**
- * Intervals between beats without a beat of any upstream: less than the silence of one
- * by an interval, over which the last beats of all are spread.
+ * Heartbeat intervals without a heartbeat of any upstream after which the heartbeat
+ * clock pauses. At least one interval shorter than the heartbeat timeout, because the
+ * last heartbeats of all upstreams are spread over an interval.
  */
-const BEATS_OF_QUIET = 1.5;
+const CLOCK_PAUSE_INTERVALS = 1.5;
 
-/** Ms in which gateways find a new leader that knows of none yet. */
-const GATEWAYS_SETTLE_MS = 2_000;
+/** Ms within which all gateways connect to a new leader that knows none of them. */
+const GATEWAYS_CONNECT_MS = 2_000;
 
 /**
  * Starts a control process.
  *
- * @param settings - Its settings.
- * @param options - The seeds, logs, metrics, how orders are sent.
+ * @param settings - The settings of the process.
+ * @param options - The seeds, logs, metrics, and how layer orders are sent.
  * @returns The running process.
  * @throws {StorageOwnerError | StorageDamageError} When the data folder is
- * refused.
+ * rejected.
  * @example
  * const control = await startFleetControl(settings, options);
  */
@@ -150,8 +148,8 @@
   options: StartFleetControlOptions,
 ): Promise<FleetControl> {
   const { log, metrics } = options;
-  // What waits for others' silence counts by the steady clock, on which a suspended
-  // machine waits longer; only the lease ends with a suspension.
+  // Failure timeouts use the steady clock, which excludes suspensions of the machine;
+  // only the lease has to expire during a suspension.
   const now = () => performance.now();
   const { getWokeMs } = createElapsedClock({
     steadyNow: now,
@@ -161,37 +159,38 @@
   const storage = await openFleetStorage({ ...settings, seeds, log });
   const { replicaId } = storage.identity;
   let leadingSinceMs = Infinity;
-  // Times that this process came to lead, and the last of them in which it knew what
-  // earlier leaders had recorded.
-  let leadCount = 0;
-  let informedLead = -1;
-  // Resolves once it knows that.
-  let addingRecorded = Promise.resolve();
-  const leadsFor = (spanMs: number) => now() - leadingSinceMs >= spanMs;
-  // Without a lease no beat is taken, so silence says nothing then.
+  // Number of times that this process became leader, and the last of them in which it
+  // has loaded what earlier leaders had recorded.
+  let leadershipCount = 0;
+  let loadedLeadership = -1;
+  // Resolves once the recorded state is loaded.
+  let recordedStateLoaded = Promise.resolve();
+  const hasLedFor = (spanMs: number) => now() - leadingSinceMs >= spanMs;
+  // Heartbeats are rejected without a lease, so that time does not count as silence.
   const listening = createListeningClock({
     now,
     lookIntervalMs: TICK_INTERVAL_MS,
     isListening: false,
   });
-  let listensSinceMs = 0;
-  const listensFor = (spanMs: number) =>
-    listening.now() - listensSinceMs >= spanMs;
-  const silenceMs = settings.beatIntervalMs * BEATS_OF_SILENCE;
+  let listeningSinceMs = 0;
+  const hasListenedFor = (spanMs: number) =>
+    listening.now() - listeningSinceMs >= spanMs;
+  const heartbeatTimeoutMs = settings.beatIntervalMs *
+    HEARTBEAT_TIMEOUT_INTERVALS;
 
   const history = createConfigHistory(options);
-  const machine = createFleetMachine({ onChange: takeChange });
-  // Where replicas say that they are reached: one that starts without state
-  // knows no members, and answers and joins those who write to it.
-  const senders = new Map<string, string>();
+  const machine = createFleetMachine({ onChange: handleCommand });
+  // Addresses that replicas report in their messages: a replica that starts without
+  // state knows no members; it responds to, and joins, those that contact it.
+  const senderAddresses = new Map<string, string>();
   const { replica, transport } = createReplicaHost({
     storage,
     machine,
     timing: QUORUM_TIMING,
     snapshotEntries: SNAPSHOT_ENTRIES,
     getAddress: (id, { members }) =>
-      members.find((one) => one.id === id)?.address ?? senders.get(id),
-    onSender: (id, address) => void senders.set(id, address),
+      members.find((one) => one.id === id)?.address ?? senderAddresses.get(id),
+    onSender: (id, address) => void senderAddresses.set(id, address),
     onLead,
     onLeadLost,
     onFatal: options.onFatal,
@@ -201,19 +200,19 @@
     metrics,
     now,
   });
-  // Decoded only where it is asked for: who follows needs none.
+  // Decoded on demand only: a follower does not need it.
   const getServices = () => {
     const accepted = machine.getAccepted();
     return accepted ? history.read(accepted.packed).services : [];
   };
   const isLeader = () => replica.getState().role === "leader";
-  const knowsRecorded = () => informedLead === leadCount;
+  const isRecordedStateLoaded = () => loadedLeadership === leadershipCount;
   const registry = createEngineRegistry({
-    silenceMs,
-    quietMs: settings.beatIntervalMs * BEATS_OF_QUIET,
+    silenceMs: heartbeatTimeoutMs,
+    quietMs: settings.beatIntervalMs * CLOCK_PAUSE_INTERVALS,
     now: listening.now,
     getLeave: machine.getLeave,
-    // Before the first configuration any may come to be.
+    // Before the first configuration any service name is accepted.
     isService(service) {
       const services = getServices();
       return services.length === 0 ||
@@ -222,14 +221,14 @@
     publish: (change) => sessions.publishEngines(change),
     log,
   });
-  const lender = createRepeatLender({
+  const retryLender = createRepeatLender({
     ...settings.repeats,
     getLeadsForMs: () => now() - leadingSinceMs,
     now,
   });
   const propose = (command: FleetCommand) =>
     replica.propose(JSON.stringify(command));
-  const quarantine = createQuarantineDesk({
+  const quarantine = createQuarantineCoordinator({
     getCases: machine.getCases,
     propose,
     publish: (message) => sessions.publish(message),
@@ -238,7 +237,7 @@
   });
   const limits = createLimitDesk({
     publish: (limit) => sessions.publish({ type: "limits", limits: [limit] }),
-    // Processes that lead one after the other begin at different times.
+    // Successive leaders start at different times, so their versions differ.
     firstVersion: Date.now(),
     now,
     log,
@@ -246,52 +245,53 @@
   const sessions = createGatewaySessions({
     isLeader,
     hasLease: () => replica.hasLease(),
-    // A gateway that joins is told of upstreams at once and takes callers: one that
-    // came some ms after a new leader was told of none, and refused them.
+    // Waits for the recorded state: a joining gateway receives the upstreams at once and
+    // then accepts callers. One that joined some ms after a leader change received an
+    // empty list, and rejected its callers.
     async confirmRead() {
       await replica.confirmRead();
-      await addingRecorded;
+      await recordedStateLoaded;
     },
-    getLeaderAddress: () => hasHeardLeader() ? getLeader()?.address ?? "" : "",
+    getLeaderAddress: () => hasRecentLeader() ? getLeader()?.address ?? "" : "",
     getControlAddresses: () =>
       replica.getState().members.map((member) => member.address),
     getAccepted: machine.getAccepted,
     history,
     getEngines: registry.getRecords,
     knowsAllEngines: registry.knowsAll,
-    knowsAllGateways: () => leadsFor(GATEWAYS_SETTLE_MS),
-    lendRepeats: lender.lend,
+    knowsAllGateways: () => hasLedFor(GATEWAYS_CONNECT_MS),
+    lendRepeats: retryLender.lend,
     quarantine,
     limits,
     onSuspects: registry.takeSuspects,
-    onSlow: (engineIds) => paces.noteSlow(engineIds),
-    onLeaving: (engineIds) => void desk.noteLeaves(engineIds),
+    onSlow: (engineIds) => paceMonitor.recordSlow(engineIds),
+    onLeaving: (engineIds) => void calls.recordLeaves(engineIds),
     now,
     listeningNow: listening.now,
     log,
     metrics,
   });
-  // Orders and questions of the leader are no requests: a leave is news here, and a
-  // limit that is named, but not that none is.
-  function takeNotice(engineId: string, notice: EngineNotice): void {
+  // The leader's orders and polls are not requests, so the absence of a limit in their
+  // responses doesn't lift one; a leave or a named limit counts.
+  function handleNotice(engineId: string, notice: EngineNotice): void {
     const { isLeaving, limitPerS = Infinity } = notice;
-    if (isLeaving) void desk.noteLeaves([engineId]);
+    if (isLeaving) void calls.recordLeaves([engineId]);
     if (limitPerS < Infinity) limits.take({ engineId, limitPerS });
   }
 
-  const paces = createPaceWatch({
+  const paceMonitor = createPaceMonitor({
     getEngines: () =>
       registry.getRecords().filter((record) => record.layers !== undefined),
     readPace: options.readPace,
     onPace: registry.takePace,
-    onNotice: takeNotice,
+    onNotice: handleNotice,
     now,
   });
-  const keeper = createLayerKeeper({
+  const layerManager = createLayerKeeper({
     getServices,
     getEngines: registry.getRecords,
     sendOrder: options.sendLayerOrder,
-    onNotice: takeNotice,
+    onNotice: handleNotice,
     hasLeft: (engineId) => machine.getLeave(engineId) !== undefined,
     hasEnded: (engineId) =>
       [...machine.getCases().values()].some((one) =>
@@ -300,7 +300,7 @@
     now,
     log,
   });
-  const recorder = createEngineRecorder({
+  const engineRecorder = createEngineRecorder({
     getHeard: registry.getRecords,
     getRecorded: machine.getEngines,
     propose,
@@ -312,18 +312,18 @@
     propose,
     log,
   });
-  const members = createMemberKeeper({
+  const members = createMembershipManager({
     replica,
     voters: settings.voters,
-    silenceMs: VOTER_SILENCE_MS,
+    responseTimeoutMs: VOTER_TIMEOUT_MS,
     now: listening.now,
     log,
   });
   const countVoters = () =>
     replica.getState().members.filter(({ role }) => role === "voter").length;
   const hasEnoughVoters = () =>
-    leadsFor(VOTERS_WAIT_MS) || countVoters() >= settings.voters;
-  const desk = createLeaderDesk({
+    hasLedFor(MAX_VOTERS_WAIT_MS) || countVoters() >= settings.voters;
+  const calls = createLeaderCallHandler({
     hasEnoughVoters,
     hasLease: () => replica.hasLease(),
     machine,
@@ -334,30 +334,31 @@
     history,
     log,
   });
-  const rounds = createLeaderRounds({
-    // Before it knows what is recorded, it would record all of that as lost.
-    isLeading: () => isLeader() && replica.hasLease() && knowsRecorded(),
+  const leaderLoop = createLeaderLoop({
+    // Until the recorded state is loaded, all of it would be recorded as departed.
+    isLeading: () =>
+      isLeader() && replica.hasLease() && isRecordedStateLoaded(),
     listening,
-    listensFor,
+    hasListenedFor,
     isFirstStart: settings.isFirstStart,
     sessions,
     registry,
-    paces,
+    paceMonitor,
     quarantine,
-    recorders: [recorder, gatewayRecorder],
+    recorders: [engineRecorder, gatewayRecorder],
     members,
-    keeper,
+    layerManager,
     log,
   });
-  const caller = createLeaderCaller();
+  const leaderClient = createLeaderClient();
 
-  function takeChange(command: FleetCommand): void {
+  function handleCommand(command: FleetCommand): void {
     if (command.type === "engines" || command.type === "gateways") return;
     if (command.type === "crashes" || command.type === "casesCleared") {
-      return quarantine.noteChange({ isLeader: isLeader() });
+      return quarantine.handleChange({ isLeader: isLeader() });
     }
     if (command.type === "leave") {
-      // Who does not lead keeps no registry; it asks the state when it leads.
+      // A follower keeps no registry; it reads the state machine when it is elected.
       if (isLeader()) registry.takeLeave(command.engineId, command.kind);
       return;
     }
@@ -367,15 +368,15 @@
   }
 
   function onLead(): void {
-    leadCount += 1;
+    leadershipCount += 1;
     leadingSinceMs = now();
-    listensSinceMs = listening.now();
+    listeningSinceMs = listening.now();
     members.reset();
-    rounds.reset();
+    leaderLoop.reset();
     registry.reset();
-    keeper.reset();
+    layerManager.reset();
     limits.reset();
-    addingRecorded = addRecorded();
+    recordedStateLoaded = loadRecordedState();
   }
 
   function onLeadLost(): void {
@@ -383,13 +384,14 @@
     sessions.closeAll();
   }
 
-  // Only once its own term has committed has a leader applied all that counts.
-  async function addRecorded(): Promise<void> {
-    const lead = leadCount;
+  // A leader has applied all committed entries only once an entry of its own term is
+  // committed.
+  async function loadRecordedState(): Promise<void> {
+    const leadership = leadershipCount;
     try {
       await replica.confirmRead();
     } catch {
-      // It no longer leads: whoever does adds them.
+      // No longer the leader: the next one adds the recorded state.
       return;
     }
     const accepted = machine.getAccepted();
@@ -401,7 +403,7 @@
     const newestRuns = machine.getNewestRuns();
     registry.addRecorded(staying, { newestRuns });
     sessions.expectGateways(machine.getGateways().values());
-    informedLead = lead;
+    loadedLeadership = leadership;
   }
 
   function getLeader(): Member | undefined {
@@ -409,29 +411,29 @@
     return members.find((member) => member.id === leaderId);
   }
 
-  // One that has just ended would only be asked in vain.
-  function hasHeardLeader(): boolean {
+  // Redirecting gateways to a leader that has just failed would be useless.
+  function hasRecentLeader(): boolean {
     const { leaderContactMs } = replica.getState();
-    return now() - leaderContactMs < LEADER_FRESH_MS;
+    return now() - leaderContactMs < LEADER_CONTACT_MAX_AGE_MS;
   }
 
   function call(request: FleetCall): Promise<FleetReply> {
-    if (isLeader()) return desk.take(request);
+    if (isLeader()) return calls.handle(request);
     const leader = getLeader();
     if (!leader || leader.id === replicaId) {
       return Promise.resolve({ type: "unavailable", reason: "no leader" });
     }
-    return caller.call(leader.address, request);
+    return leaderClient.call(leader.address, request);
   }
 
-  async function takeCall(json: string): Promise<FleetReply> {
-    // A call is passed on once: two processes that take each other for the
-    // leader must not send it to and fro.
-    if (isLeader()) return await desk.take(JSON.parse(json) as FleetCall);
+  async function handleCall(json: string): Promise<FleetReply> {
+    // A call is forwarded only once: two processes that take each other for the leader
+    // must not forward it back and forth.
+    if (isLeader()) return await calls.handle(JSON.parse(json) as FleetCall);
     return { type: "unavailable", reason: "not the leader" };
   }
 
-  const takeJoin = createJoinHandler({
+  const handleJoin = createJoinHandler({
     fleetId: settings.fleetId,
     replica,
     getIdentity: () => storage.identity,
@@ -442,8 +444,8 @@
     address: settings.peerAddress,
     handleDeliver: transport.handleDeliver,
     handleSession: sessions.handleSession,
-    takeJoin,
-    takeCall,
+    handleJoin,
+    handleCall,
   });
 
   const joining = new AbortController();
@@ -458,14 +460,14 @@
       getPeerAddresses: () =>
         [
           ...options.getSeeds().map((seed) => seed.peerAddress),
-          ...senders.values(),
+          ...senderAddresses.values(),
         ].filter((address) => address !== settings.peerAddress),
     }).then((joined) => {
       if (joined) log("clusterJoined", { ...storage.identity });
     });
   }
 
-  const timer = setInterval(rounds.tick, TICK_INTERVAL_MS);
+  const timer = setInterval(leaderLoop.tick, TICK_INTERVAL_MS);
   log("started", { vm: settings.callerAddress, replicaId });
 
   async function stop(): Promise<void> {
@@ -474,7 +476,7 @@
     await handOver(replica);
     clearInterval(timer);
     sessions.closeAll();
-    await caller[Symbol.asyncDispose]();
+    await leaderClient[Symbol.asyncDispose]();
     await transport[Symbol.asyncDispose]();
     server.forceShutdown();
     await replica[Symbol.asyncDispose]();
