--- a/src/gateway/admission_test.ts
+++ b/src/gateway/admission_test.ts
@@ -24,8 +24,8 @@
   cards: [{ name: "card", memoryMb: 1_800, stepFactor: 1, readFactor: 1 }],
 };
 
-/** Tokens for which an engine with all layers has room. */
-const ROOM_TOKENS = 1_000;
+/** Tokens that fit into the memory of an engine with all layers. */
+const CAPACITY_TOKENS = 1_000;
 
 function startTable(ids: readonly string[], slots = 100) {
   let nowMs = 0;
@@ -62,7 +62,7 @@
 
 const WHOLE = { fromLayer: 0, toLayer: 8 };
 
-test("a new request goes where it fits in, one that goes on may use more room", () => {
+test("a new request goes where it fits, a resumed stream may use more memory", () => {
   const { table, choose } = startTable(["a", "b"]);
   const busy = { tokens: 900, requests: 9 };
   table.takeLoads({ a: busy });
@@ -70,18 +70,18 @@
   table.takeLoads({ a: busy, b: busy });
   assert.is(choose({ tokens: 100, isNew: true }), undefined);
   assert.ok(choose({ tokens: 100, isNew: false }));
-  assert.is(choose({ tokens: ROOM_TOKENS, isNew: false }), undefined);
+  assert.is(choose({ tokens: CAPACITY_TOKENS, isNew: false }), undefined);
   assert.ok(choose());
 });
 
-test("a first engine whose slots are taken is for streams that go on", () => {
+test("a first engine whose slots are in use accepts resumed streams only", () => {
   const { table, choose } = startTable(["a"], 10);
   table.takeLoads({ a: { tokens: 90, requests: 10 } });
   assert.is(choose({ tokens: 1, isNew: true }), undefined);
   assert.is(choose({ tokens: 1, isNew: false }), "a");
 });
 
-test("own growth beyond chance counts for all gateways, growth by chance does not", () => {
+test("own growth beyond random variation is assumed for all gateways, smaller growth isn't", () => {
   const { table, choose } = startTable(["a", "b"]);
   const path = [{ engineId: "a", ...WHOLE }];
   table.addWork(path, { tokens: 200 });
@@ -90,7 +90,7 @@
   assert.is(choose({ tokens: 100, isNew: true }), "b");
 });
 
-test("an engine's own word on its pace counts at once, and for a while", () => {
+test("the slowness that an engine reports itself counts at once, and for 2 s", () => {
   const { table, choose, wait } = startTable(["a", "b"]);
   assert.is(choose(), "a");
   table.notePace("a", 6);
@@ -101,7 +101,7 @@
   assert.is(choose(), "a");
 });
 
-test("a stream that waits for room is let in in its order", () => {
+test("streams that wait for capacity are admitted in order of arrival", () => {
   const queue = createRoomQueue({
     getEndIntervalMs: () => 30,
     getOthersWaiting: () => 0,
@@ -119,7 +119,7 @@
   assert.ok(queue.isEmpty());
 });
 
-test("who waits for one model holds up nobody who asks for another", () => {
+test("streams that wait for one model don't delay those of another", () => {
   const getRoomQueue = createRoomQueues({
     getEndIntervalMs: () => 30,
     getOthersWaiting: () => 0,
@@ -130,7 +130,7 @@
   assert.ok(getRoomQueue("two").isEmpty());
 });
 
-test("the interval between ends follows those of the last seconds", () => {
+test("the interval between stream ends follows those of the last seconds", () => {
   let nowMs = 0;
   const rate = createEndRate({ now: () => nowMs });
   assert.is(rate.getIntervalMs(), 2_000);
@@ -140,7 +140,7 @@
   assert.is(rate.getIntervalMs(), 2_000);
 });
 
-test("the longest stream is remembered for a while", () => {
+test("the longest stream time is kept for a while", () => {
   let nowMs = 0;
   const rate = createEndRate({ now: () => nowMs });
   assert.is(rate.getLongestMs(), 0);
@@ -152,7 +152,7 @@
   assert.is(rate.getLongestMs(), 2_000);
 });
 
-test("callers come back one after the other, no faster than room comes free", () => {
+test("retries of callers are spaced no closer than capacity becomes free", () => {
   const schedule = createReturnSchedule({
     getEndIntervalMs: () => 100,
     getGatewayCount: () => 1,
@@ -166,7 +166,7 @@
   assert.is(Math.max(...later), 6_000);
 });
 
-test("waits are spread at random, so that gateways don't agree by accident", () => {
+test("retry waits have jitter, so that gateways don't synchronise", () => {
   const draws = [0, 1];
   const schedule = createReturnSchedule({
     getEndIntervalMs: () => 0,
--- a/src/gateway/admit_call.ts
+++ b/src/gateway/admit_call.ts
@@ -1,5 +1,5 @@
 /**
- * Whether a new call is let in while upstreams of its service are backed off.
+ * Admission of new calls while upstreams of their service are backed off.
  *
  * @module
  */
@@ -10,23 +10,24 @@
 import type { Call, ServingContext } from "./types.ts";
 
 /**
- * Ms after which a caller comes again at least where what upstreams can bear is
- * taken: the limit changes within a second.
+ * Shortest retry-after, in ms, of a call that the throttle rejects: the limit changes
+ * within a second.
  */
-const LEAST_RETRY_AFTER_MS = 300;
+const MIN_RETRY_AFTER_MS = 300;
 
 /**
- * Share of the slots of those that aren't backed off which has to be taken before anything
- * is limited: what a small load was served says nothing of what they can bear.
+ * Share of the slots of upstreams that aren't backed off that has to be in use before
+ * calls are limited. What was served under a small load doesn't show how much the
+ * upstreams can bear.
  */
 const BUSY_SHARE = 0.5;
 
 /**
- * Lets a new call in, or says when its caller may come again.
+ * Admits a new call, or rejects it with the time after which its caller may retry.
  *
  * @param call - The call.
- * @param context - The upstreams, the throttle and chance.
- * @returns Ms to tell the caller; undefined where it is let in.
+ * @param context - The upstreams, the throttle and the random source.
+ * @returns Ms after which the caller may retry; undefined where the call is admitted.
  * @throws Nothing.
  * @example
  * const retryAfterMs = admitCall(call, context);
@@ -43,24 +44,25 @@
   if (!isBusy(listBeginners(call, context))) return undefined;
   const waitMs = throttle.admit(call.service);
   if (waitMs === undefined) return undefined;
-  const leastMs = Math.max(LEAST_RETRY_AFTER_MS, waitMs);
-  return spreadReturnMs(leastMs, context.random());
+  const minWaitMs = Math.max(MIN_RETRY_AFTER_MS, waitMs);
+  return spreadReturnMs(minWaitMs, context.random());
 }
 
 /**
- * Tells whether upstreams have little room left, as far as their loads are known.
+ * Checks whether upstreams have little free capacity, as far as their loads are known.
  *
- * @param upstreams - Those that take new work.
- * @returns Whether half of their slots are taken; false where there are none.
+ * @param upstreams - Upstreams that accept new work.
+ * @returns Whether more than half of their slots are in use; false where there are
+ * none.
  * @throws Nothing.
  * @example
  * if (isBusy(table.listUsable(service))) return throttle.admit(service);
  */
 export function isBusy(upstreams: readonly EngineView[]): boolean {
-  const taken = upstreams.reduce(
+  const usedSlots = upstreams.reduce(
     (sum, { inFlight, otherRequests }) => sum + inFlight + otherRequests,
     0,
   );
   const slots = upstreams.reduce((sum, { record }) => sum + record.slots, 0);
-  return taken > BUSY_SHARE * slots;
+  return usedSlots > BUSY_SHARE * slots;
 }
--- a/src/gateway/admit_call_test.ts
+++ b/src/gateway/admit_call_test.ts
@@ -37,12 +37,12 @@
   return { context, shares };
 }
 
-test("nobody is limited while those that don't rest have room", () => {
+test("no call is limited while upstreams that aren't backed off have free capacity", () => {
   const { context } = makeContext({ usable: [1, 2], waitMs: 500 });
   assert.is(admitCall(CALL, context), undefined);
 });
 
-test("where they are busy callers are told when to come again", () => {
+test("where upstreams are busy, calls are rejected with a retry-after", () => {
   const busy = makeContext({ usable: [3, 2], waitMs: 500 });
   assert.is(admitCall(CALL, busy.context), 500);
   const soon = makeContext({ usable: [3, 2], waitMs: 10 });
@@ -51,12 +51,12 @@
   assert.is(admitCall(CALL, free.context), undefined);
 });
 
-test("where all rest their rest decides, not the limit", () => {
+test("where all upstreams are backed off, the throttle doesn't apply", () => {
   const { context } = makeContext({ usable: [], waitMs: 500 });
   assert.is(admitCall(CALL, context), undefined);
 });
 
-test("the throttle hears which share of a service rests", () => {
+test("the throttle receives the share of a service's upstreams that is backed off", () => {
   const { context, shares } = makeContext({ usable: [0, 0, 0], resting: 1 });
   noteBackOff(CALL, context);
   assert.equal(shares, [0.25]);
--- a/src/gateway/answer_refusal.ts
+++ b/src/gateway/answer_refusal.ts
@@ -1,5 +1,5 @@
 /**
- * Final answers of the gateway's own.
+ * Final responses that the gateway itself generates.
  *
  * @module
  */
@@ -7,24 +7,24 @@
 import type { ServerResponse } from "node:http";
 import type { CallerCodec, CallerRequest, Refusal } from "./protocol.ts";
 
-/** Who is refused, and how. */
+/** Which request is refused, and why. */
 export interface AnswerRefusalOptions {
   readonly codec: CallerCodec;
   readonly request: CallerRequest | undefined;
   readonly refusal: Refusal;
-  /** Whether the connection ends with this answer. */
+  /** Whether the connection is closed after this response. */
   readonly closes?: boolean;
 }
 
 /**
- * Answers a request with a refusal or a failure, at once.
+ * Responds to a request with a refusal or a failure at once.
  *
  * @param response - The caller's response.
- * @param options - Who is refused, and how.
+ * @param options - Which request is refused, and why.
  * @returns Nothing.
  * @throws Nothing.
  * @example
- * answerRefusal(response, { codec, request, refusal });
+ * sendRefusal(response, { codec, request, refusal });
  */
 export function answerRefusal(
   response: ServerResponse,
@@ -32,7 +32,7 @@
 ): void {
   const { codec, request, refusal, closes = false } = options;
   if (response.headersSent || response.destroyed) {
-    // A begun answer must not look complete.
+    // A partial response must not look complete.
     response.destroy();
     return;
   }
--- a/src/gateway/choose_call_path.ts
+++ b/src/gateway/choose_call_path.ts
@@ -1,5 +1,5 @@
 /**
- * Chooses where a stream's next run goes.
+ * Chooses the path for the next run of a stream.
  *
  * @module
  */
@@ -17,16 +17,16 @@
 import type { Call, ServingContext } from "./types.ts";
 
 /**
- * Prompts of one gateway that are read across data centres at a time. The
- * activations of a prompt take some 30 ms of the pipe that all share: with ten
- * gateways the last of two each waits for a good half second. More of them stood
- * in each other's way until callers left (inc-e89f).
+ * Prompts that one gateway lets be read across data centres at a time. The activations
+ * of a prompt take some 30 ms of the shared link between data centres: with ten
+ * gateways and two prompts each, the last one waits for more than half a second. With
+ * more of them, prompts delayed each other until callers left (inc-e89f).
  */
-const MAX_CROSSING_PROMPTS = 2;
+const MAX_CROSS_PLACE_PROMPTS = 2;
 
 const MS_PER_S = 1_000;
 
-/** Who is left out. */
+/** What the path has to avoid and to provide. */
 export interface ChooseCallPathOptions {
   /** Engines that failed this call. */
   readonly excluded: ReadonlySet<string>;
@@ -34,37 +34,37 @@
   readonly need: PathNeed;
 }
 
-/** Where a run goes. */
+/** The path of a run, or why there is none. */
 export type CallPathChoice =
   | { readonly type: "path"; readonly path: AddressedPart[] }
-  /** Engines hold all layers, but have no room. */
+  /** Engines hold all layers, but have no free capacity. */
   | { readonly type: "full" }
-  /** Engines that hold some layers have asked gateways to back off. */
+  /** Engines that hold some of the layers have asked gateways to back off. */
   | {
     readonly type: "resting";
-    /** Ms after which a path can be used again. */
+    /** Ms until a path can be used again. */
     readonly leftMs: number;
   }
-  /** Engines that could begin it are at their rate limits. */
+  /** Engines that could start the request are at their rate limits. */
   | {
     readonly type: "limited";
-    /** Ms after which one of them may have a send left. */
+    /** Ms until one of them may accept a request again. */
     readonly leftMs: number;
   }
-  /** Nobody holds some layers. */
+  /** Some layers are held by no engine. */
   | { readonly type: "missing" };
 
 /**
- * Chooses the path of a run: over parts where the service's model is layered,
- * else one engine with everything.
+ * Chooses the path of a run: over several engines where the service's model is layered,
+ * else a single engine that holds the whole model.
  *
  * @param call - The call.
  * @param context - The engines and the time.
- * @param options - Who is left out.
+ * @param options - What the path has to avoid and to provide.
  * @returns The path, or why there is none.
  * @throws Nothing.
  * @example
- * const choice = chooseCallPath(call, context, { excluded });
+ * const choice = chooseCallPath(call, context, { excluded, need });
  */
 export function chooseCallPath(
   call: Call,
@@ -75,41 +75,43 @@
   const { excluded, need } = options;
   const model = getCallModel(call, context);
   if (!model) {
-    const whole = chooseWhole(call, context, options);
-    if (whole) return { type: "path", path: whole };
-    return explainLimit(call, context) ?? explainMissing(call, context);
+    const singlePath = chooseSingleEngine(call, context, options);
+    if (singlePath) return { type: "path", path: singlePath };
+    return findLimitWait(call, context) ?? findBackOffWait(call, context);
   }
   const usable = engines.listUsable(call.service);
-  const begunRequests = getBegunRequests(call, context);
-  const by = {
+  const begunRequests = estimateStartedRequests(call, context);
+  const pathOptions = {
     model,
     place,
     gatewayCount: context.getGatewayCount(),
-    mostGrowth: begunRequests,
+    maxUnreportedRequests: begunRequests,
     hasIdleConnection: context.exchanger.hasIdleConnection,
-    expected: expectWork(usable, { call, context, model, begunRequests }),
-    drawBlindly: begunRequests === Infinity ? context.random : undefined,
+    expected: estimateWork(usable, { call, context, model, begunRequests }),
+    drawRandomCost: begunRequests === Infinity ? context.random : undefined,
     excluded,
-    mayBegin: rateLimits.hasSendLeft,
-    mayCross: engines.getCrossingPrompts() < MAX_CROSSING_PROMPTS,
+    canStartAt: rateLimits.hasSendLeft,
+    mayCrossPlaces: engines.getCrossingPrompts() < MAX_CROSS_PLACE_PROMPTS,
     nowMs: now(),
   };
-  const path = choosePath(usable, { ...by, need });
+  const path = choosePath(usable, { ...pathOptions, need });
   if (path && !path.some(hasJustRefused)) return { type: "path", path };
-  const isHeld = path ?? choosePath(usable, by);
-  if (isHeld) return { type: "full" };
-  const limited = explainLimit(call, context);
-  if (limited && choosePath(usable, { ...by, mayBegin: undefined })) {
+  const pathWithoutNeed = path ?? choosePath(usable, pathOptions);
+  if (pathWithoutNeed) return { type: "full" };
+  const limited = findLimitWait(call, context);
+  if (
+    limited && choosePath(usable, { ...pathOptions, canStartAt: undefined })
+  ) {
     return limited;
   }
-  return explainMissing(call, context, model);
+  return findBackOffWait(call, context, model);
 
   function hasJustRefused({ engineId }: AddressedPart): boolean {
     return (engines.get(engineId)?.fullUntilMs ?? 0) > now();
   }
 }
 
-function explainLimit(
+function findLimitWait(
   call: Call,
   context: ServingContext,
 ): CallPathChoice | undefined {
@@ -117,8 +119,9 @@
   return leftMs === undefined ? undefined : { type: "limited", leftMs };
 }
 
-// Right after a back-off an engine takes a few requests at first: there is room in a moment.
-function explainMissing(
+// Right after a back-off an engine accepts only a few requests at first, so capacity
+// becomes free within a moment.
+function findBackOffWait(
   { service }: Call,
   { engines, notices }: ServingContext,
   model?: LayeredModel,
@@ -133,16 +136,19 @@
   return engines.getLoadsAgeMs() / MS_PER_S;
 }
 
-// What callers asked of the fleet since loads were told, and what had to leave
-// lost engines; unbounded where nothing is known of it.
-function getBegunRequests({ service }: Call, context: ServingContext): number {
+// Requests that callers sent to the fleet since the last load report, and those that
+// had to leave lost engines. Infinite where the request rate is unknown.
+function estimateStartedRequests(
+  { service }: Call,
+  context: ServingContext,
+): number {
   const askedPerS = context.rates.getAskedPerS(service);
   if (askedPerS === undefined) return Infinity;
   const asked = askedPerS * getLoadsAgeS(context);
   return asked + context.engines.getDisplacedRequests();
 }
 
-function expectWork(
+function estimateWork(
   usable: readonly EngineView[],
   options: {
     readonly call: Call;
@@ -154,14 +160,17 @@
   const { call, context, model, begunRequests } = options;
   const { rates, random } = context;
   if (begunRequests === Infinity || begunRequests < 1) return undefined;
-  const told = usable.reduce((sum, one) => sum + one.otherRequests, 0);
+  const reportedRequests = usable.reduce(
+    (sum, one) => sum + one.otherRequests,
+    0,
+  );
   const ended = getLoadsAgeS(context) * MS_PER_S /
     rates.getEndIntervalMs(call.service);
   const usualTokens = getUsualTokens(model);
   const places = context.listGatewayPlaces();
   return expectOthers({
     begunRequests,
-    endedShare: Math.min(1, ended / Math.max(1, told)),
+    endedShare: Math.min(1, ended / Math.max(1, reportedRequests)),
     usualTokens,
     choose: (expected) =>
       choosePath(usable, {
@@ -169,8 +178,9 @@
         place: places[Math.floor(random() * places.length)] ?? context.place,
         gatewayCount: 1,
         expected,
-        // What a limit lets through is little beside what goes elsewhere.
-        mayBegin: (id) => context.rateLimits.getLimitPerS(id) === Infinity,
+        // What a rate limit lets through is small compared with what goes to other
+        // engines.
+        canStartAt: (id) => context.rateLimits.getLimitPerS(id) === Infinity,
         excluded: new Set(),
         nowMs: context.now(),
         need: { tokens: usualTokens, isNew: true },
@@ -179,7 +189,7 @@
   });
 }
 
-function chooseWhole(
+function chooseSingleEngine(
   call: Call,
   context: ServingContext,
   options: ChooseCallPathOptions,
@@ -197,8 +207,8 @@
 }
 
 /**
- * Gets the tokens that a call will take on each engine of its path. Callers name the
- * most that an answer may hold; most hold far less.
+ * Gets the tokens that a call will take on each engine of its path. Callers state the
+ * maximum length of an answer; most answers are far shorter.
  *
  * @param call - The call.
  * @param model - Its model; undefined where the service has none.
@@ -216,25 +226,25 @@
 }
 
 /**
- * Finds another way for a running stream: the first part stays, the others may
- * change, all in the first one's data centre, to engines that have room. Those that
- * have read the stream are preferred. Through another data centre every token
- * read so far would cross the pipe that all share; to read it anew in one place
- * takes far less.
+ * Finds another path for a running stream. The first part stays; the others may change,
+ * to engines in the first one's data centre that have free capacity. Engines that have
+ * already read the stream are preferred. A path through another data centre would send
+ * all tokens read so far over the shared link; reading them again within one data
+ * centre takes far less time.
  *
  * @param call - The call.
  * @param context - The engines and the time.
- * @param options - The way that it runs, and who is left out.
- * @returns The path, or undefined where there is none near by.
+ * @param options - The current path, and the engines to avoid.
+ * @returns The path, or undefined where there is none in the data centre.
  * @throws Nothing.
  * @example
- * const detour = findDetour(call, context, { path, excluded });
+ * const path = findAlternatePath(call, context, { path: current, excluded });
  */
 export function findDetour(
   call: Call,
   context: ServingContext,
   options: Pick<ChooseCallPathOptions, "excluded"> & {
-    /** The way that it runs now. */
+    /** The current path. */
     readonly path: readonly AddressedPart[];
   },
 ): AddressedPart[] | undefined {
@@ -244,27 +254,27 @@
   const model = getCallModel(call, context);
   const place = engines.get(first.engineId)?.record.place;
   if (!model || place === undefined) return undefined;
-  const near = engines.listUsable(call.service)
+  const samePlaceEngines = engines.listUsable(call.service)
     .filter(({ record }) => record.place === place);
-  const rest = choosePath(near, {
+  const nextParts = choosePath(samePlaceEngines, {
     model,
     place,
     gatewayCount: context.getGatewayCount(),
     excluded: new Set([...excluded, first.engineId]),
     nowMs: now(),
     fromLayer: first.toLayer,
-    holders: new Set(others.map(({ engineId }) => engineId)),
-    // An engine whose memory runs out cuts the newest stream off.
+    cachedEngineIds: new Set(others.map(({ engineId }) => engineId)),
+    // An engine whose memory runs out drops the newest stream.
     need: { tokens: getCallTokens(call, model), isNew: true },
   });
-  return rest && [first, ...rest];
+  return nextParts && [first, ...nextParts];
 }
 
 /**
  * Gets the layered model of a call's service.
  *
  * @param call - The call.
- * @param context - The configuration in force.
+ * @param context - The current configuration.
  * @returns The model, or undefined where the service has none.
  * @throws Nothing.
  * @example
--- a/src/gateway/choose_call_path_test.ts
+++ b/src/gateway/choose_call_path_test.ts
@@ -52,14 +52,14 @@
     rates: { getAskedPerS: () => undefined },
     exchanger: { hasIdleConnection: () => true },
   } as unknown as ServingContext;
-  const rest = (engineId: string, backOffMs: number) =>
+  const backOff = (engineId: string, backOffMs: number) =>
     notices.take(engineId, { backOffMs, isLeaving: false });
   const choose = (excluded: readonly string[] = []) =>
     chooseCallPath(CALL, context, {
       excluded: new Set(excluded),
       need: { tokens: 20, isNew: true },
     });
-  return { clock, context, notices, rest, choose };
+  return { clock, context, notices, backOff, choose };
 }
 
 function listIds(choice: ReturnType<typeof chooseCallPath>): string[] {
@@ -67,19 +67,19 @@
   return choice.path.map(({ engineId }) => engineId);
 }
 
-test("a path doesn't begin at an engine that has no send left", async () => {
+test("a path doesn't start at an engine whose rate limit is used up", async () => {
   const { context, choose } = makeFleet();
   const { rateLimits } = context;
   rateLimits.takeTold([{ engineId: "a1", limitPerS: 1, version: 1 }]);
   rateLimits.takeTold([{ engineId: "b1", limitPerS: 1, version: 2 }]);
-  // Without a leader there is nothing in hand at first.
+  // Without a leader, gateways have no send permits at first.
   await rateLimits.request("a1");
   await rateLimits.request("b1");
-  // What comes after the first engine gets nothing from gateways.
+  // Gateways don't send to the later engines of a path, so their limits don't apply.
   assert.equal(listIds(choose()), ["a2", "b1"]);
 });
 
-test("where all that could begin are at their limits, it is known until when", async () => {
+test("where all first engines are at their rate limits, the remaining time is returned", async () => {
   const { context, choose } = makeFleet();
   const { rateLimits } = context;
   for (const engineId of ["a1", "a2"]) {
@@ -88,43 +88,43 @@
   }
   assert.equal(choose(), { type: "limited", leftMs: 500 });
   assert.equal(choose(["a1"]), { type: "limited", leftMs: 500 });
-  // One that failed this call but isn't limited may serve it yet.
+  // An engine that failed this call but isn't limited may become usable in time.
   rateLimits.takeTold([{ engineId: "a2", limitPerS: null, version: 2 }]);
   assert.is(choose(["a2"]).type, "missing");
   assert.equal(listIds(choose()), ["a2", "b1"]);
 });
 
-test("neither the first nor the last engine of a path is one that rests", () => {
-  const { rest, choose } = makeFleet();
-  rest("a1", 500);
-  rest("b2", 500);
+test("no engine of a path is backed off", () => {
+  const { backOff, choose } = makeFleet();
+  backOff("a1", 500);
+  backOff("b2", 500);
   assert.equal(listIds(choose()), ["a2", "b1"]);
 });
 
-test("nor is one that has said that it leaves", () => {
+test("no engine of a path has announced that it is leaving", () => {
   const { notices, choose } = makeFleet();
   notices.take("a2", { isLeaving: true });
   notices.take("b1", { isLeaving: true });
   assert.equal(listIds(choose()), ["a1", "b2"]);
 });
 
-test("where rests leave no path it is told when there is one", () => {
-  const { clock, rest, choose } = makeFleet();
-  rest("a1", 500);
-  rest("a2", 300);
-  rest("b1", 900);
+test("where back-offs leave no path, the time until there is one is returned", () => {
+  const { clock, backOff, choose } = makeFleet();
+  backOff("a1", 500);
+  backOff("a2", 300);
+  backOff("b1", 900);
   assert.equal(choose(), { type: "resting", leftMs: 300 });
   clock.ms = 300;
   assert.equal(listIds(choose()), ["a2", "b2"]);
 });
 
-test("who failed the call is missing, not resting", () => {
+test("engines that failed the call count as missing, not as backed off", () => {
   const { choose } = makeFleet();
   assert.equal(choose(["a1", "a2"]), { type: "missing" });
 });
 
-test("a running stream is not moved over one that rests", () => {
-  const { context, rest } = makeFleet();
+test("a running stream is not moved to an engine that is backed off", () => {
+  const { context, backOff } = makeFleet();
   const path = [
     { engineId: "a1", address: "a1:80", ...LOWER },
     { engineId: "b1", address: "b1:80", ...UPPER },
@@ -132,11 +132,11 @@
   const excluded = new Set(["b1"]);
   const detour = findDetour(CALL, context, { path, excluded });
   assert.equal(detour?.map(({ engineId }) => engineId), ["a1", "b2"]);
-  rest("b2", 500);
+  backOff("b2", 500);
   assert.is(findDetour(CALL, context, { path, excluded }), undefined);
 });
 
-/** One first engine, two for each of the other ranges. */
+/** One first engine, and two engines for each of the other ranges. */
 function makeStreamPath() {
   const ranges = {
     f: { fromLayer: 0, toLayer: 2 },
@@ -164,13 +164,13 @@
   return { fill, findIds };
 }
 
-test("a stream that is moved stays on the engines that have read it", () => {
+test("a stream that is moved stays on engines that have already read it", () => {
   const { fill, findIds } = makeStreamPath();
   fill("z1", 200);
   assert.equal(findIds(), ["f", "m2", "z1"]);
 });
 
-test("a stream is not moved to an engine whose memory has no room for it", () => {
+test("a stream is not moved to an engine without enough free memory", () => {
   const { fill, findIds } = makeStreamPath();
   fill("m2", 3_000_000);
   assert.is(findIds(), undefined);
--- a/src/gateway/choose_engine.ts
+++ b/src/gateway/choose_engine.ts
@@ -6,37 +6,37 @@
 
 import { type EngineView, getFailureShare } from "./engine_view.ts";
 
-/** What the choice goes by. */
+/** What the choice depends on. */
 export interface ChooseEngineOptions {
   readonly place: string;
-  /** Upstreams that were tried already. */
+  /** Upstreams already attempted. */
   readonly excluded: ReadonlySet<string>;
   /** Monotonic time, in ms. */
   readonly nowMs: number;
   /** A number in [0, 1). */
   readonly random: number;
   /**
-   * Share of the other gateways' requests that are still there where they were told
-   * of; all by default. See {@link getKeptShare}.
+   * Share of the other gateways' reported requests that still run; 1 by default. See
+   * {@link getKeptShare}.
    */
   readonly keptShare?: number;
 }
 
-/** Load, as a share of the slots, that another data centre is worth. */
+/** Load, as a share of the slots, that an upstream in another data centre counts as. */
 const OTHER_PLACE_LOAD = 0.25;
 
-/** Load, as a share of the slots, that failing always is worth. */
+/** Load, as a share of the slots, that a failure rate of 100 % counts as. */
 const FAILURE_LOAD = 4;
 
-/** Load, as a share of the slots, within which chance decides. */
-const CHANCE_LOAD = 0.15;
+/** Difference in load, as a share of the slots, below which the choice is random. */
+const RANDOM_CHOICE_LOAD = 0.15;
 
 /**
- * Chooses the upstream with the least expected load; failures, distance and
- * chance count as load.
+ * Chooses the upstream with the least expected load. Failures and distance count as
+ * load; among nearly equal ones the choice is random.
  *
- * @param engines - The upstreams that take new work.
- * @param options - Where the gateway is, who was tried, chance.
+ * @param engines - The upstreams that accept new work.
+ * @param options - The gateway's data centre, the upstreams attempted, a random number.
  * @returns The upstream, or undefined where none is left.
  * @throws Nothing.
  * @example
@@ -47,19 +47,23 @@
   options: ChooseEngineOptions,
 ): EngineView | undefined {
   const { excluded, random } = options;
-  const left = engines.filter(({ record, fullUntilMs }) =>
+  const candidates = engines.filter(({ record, fullUntilMs }) =>
     !excluded.has(record.engineId) && fullUntilMs <= options.nowMs
   );
-  if (left.length === 0) return undefined;
-  const meanOthers = left
-    .reduce((sum, one) => sum + one.otherRequests, 0) / left.length;
-  const scores = left.map((engine) => getLoad(engine, options, meanOthers));
-  const least = Math.min(...scores);
-  const near = left.filter((_engine, at) => scores[at] <= least + CHANCE_LOAD);
-  return near[Math.floor(random * near.length)];
+  if (candidates.length === 0) return undefined;
+  const meanOthers = candidates
+    .reduce((sum, one) => sum + one.otherRequests, 0) / candidates.length;
+  const loads = candidates.map((engine) =>
+    estimateLoad(engine, options, meanOthers)
+  );
+  const leastLoad = Math.min(...loads);
+  const leastLoaded = candidates.filter((_engine, at) =>
+    loads[at] <= leastLoad + RANDOM_CHOICE_LOAD
+  );
+  return leastLoaded[Math.floor(random * leastLoaded.length)];
 }
 
-function getLoad(
+function estimateLoad(
   engine: EngineView,
   options: ChooseEngineOptions,
   meanOthers: number,
@@ -67,25 +71,25 @@
   const { record, inFlight, otherRequests, toldLoad } = engine;
   const { keptShare = 1 } = options;
   const failureShare = getFailureShare(engine, options.nowMs);
-  // Those that have ended were followed by others, at any of the upstreams.
-  const others = meanOthers + keptShare * (otherRequests - meanOthers);
-  const known = (inFlight + others) / Math.max(1, record.slots);
+  // Requests that have ended were replaced by others, at any of the upstreams.
+  const runningOthers = meanOthers + keptShare * (otherRequests - meanOthers);
+  const knownLoad = (inFlight + runningOthers) / Math.max(1, record.slots);
   const distance = record.place === options.place ? 0 : OTHER_PLACE_LOAD;
-  return Math.max(known, toldLoad) + failureShare * FAILURE_LOAD + distance;
+  return Math.max(knownLoad, toldLoad) + failureShare * FAILURE_LOAD + distance;
 }
 
 /**
- * Gets the share of the requests that are told of which still run. Where they take
- * less time than the news of them, gateways that go by it all send to whoever had
- * least then. In a model of 64 gateways before 12 upstreams, under 0.8 of what they
- * can bear, 0.13 arrivals a request are turned away where all of them count, and 0.03
- * with this share (npm run measure -- rest).
+ * Estimates the share of the reported requests that still run. Where requests take less
+ * time than load reports, gateways that use reports unchanged all send to the upstream
+ * that had the least load in the last one. In a model of 64 gateways and 12 upstreams
+ * at 0.8 of their capacity, 0.13 attempts per request are rejected where all reported
+ * requests count, and 0.03 with this share (npm run measure -- rest).
  *
- * @param options - Age of the news, and the usual time of an answer, in ms.
- * @returns A share from 0 to 1; 1 where no answer has come yet.
+ * @param options - Age of the report, and the usual time of an answer, in ms.
+ * @returns A share from 0 to 1; 1 where no answer has arrived yet.
  * @throws Nothing.
  * @example
- * getKeptShare({ ageMs: 300, usualMs: 1_200 }); // 0.75
+ * estimateRunningShare({ ageMs: 300, usualMs: 1_200 }); // 0.75
  */
 export function getKeptShare(
   options: { readonly ageMs: number; readonly usualMs: number | undefined },
--- a/src/gateway/choose_path.ts
+++ b/src/gateway/choose_path.ts
@@ -20,159 +20,161 @@
 import type { ExpectedWork } from "./expect_others.ts";
 import type { AddressedPart } from "./protocol.ts";
 
-/** What the choice goes by. */
+/** What the choice depends on. */
 export interface ChoosePathOptions {
   readonly model: LayeredModel;
   readonly place: string;
-  /** Gateways that take callers; they may all send in the same moment. */
+  /** Gateways that serve callers; all of them may send at the same moment. */
   readonly gatewayCount: number;
   /**
-   * Requests that the other gateways may have begun, all together, since the
-   * leader told of their loads; unbounded by default.
+   * Upper bound on the requests that all other gateways together may have started since
+   * the last load report; unbounded by default.
    */
-  readonly mostGrowth?: number;
-  /** Whether a connection to an engine stands idle; all do by default. */
+  readonly maxUnreportedRequests?: number;
+  /** Whether an idle connection to an engine is open; true for all by default. */
   readonly hasIdleConnection?: (engineId: string) => boolean;
-  /** What the others have, beside what was told; nothing by default. */
+  /** Estimated work of other gateways beyond the last report; none by default. */
   readonly expected?: ExpectedWork;
   /**
-   * A number in [0, 1), drawn for each engine where nobody's loads are known: who
-   * knows as little as all others must not choose as they do. Not drawn by default.
+   * Draws a number in [0, 1) for each engine while no loads are known, so that gateways
+   * with equally little knowledge make different choices. Not used by default.
    */
-  readonly drawBlindly?: () => number;
+  readonly drawRandomCost?: () => number;
   /** Engines that may not be used. */
   readonly excluded: ReadonlySet<string>;
-  /** Whether a path may begin at an engine; by default it may at any. */
-  readonly mayBegin?: (engineId: string) => boolean;
+  /** Whether a path may start at an engine; true for all by default. */
+  readonly canStartAt?: (engineId: string) => boolean;
   /** Monotonic time, in ms. */
   readonly nowMs: number;
-  /** Whether a path may leave a data centre on the way; by default it may. */
-  readonly mayCross?: boolean;
-  /** What the request needs; by default engines decide whether it fits in. */
+  /** Whether a path may continue in another data centre; true by default. */
+  readonly mayCrossPlaces?: boolean;
+  /** What the request needs; by default the engines decide whether it fits. */
   readonly need?: PathNeed;
-  /** Layer at which the path begins; 0 by default. */
+  /** Layer at which the path starts; 0 by default. */
   readonly fromLayer?: number;
-  /** Engines that have read the request already; none by default. */
-  readonly holders?: ReadonlySet<string>;
+  /** Engines that have already read the request; none by default. */
+  readonly cachedEngineIds?: ReadonlySet<string>;
 }
 
 /** What a request needs on the engines of its path. */
 export interface PathNeed {
   readonly tokens: number;
-  /** Whether it is a new request, not a stream that goes on. */
+  /** Whether it is a new request rather than a stream that is resumed. */
   readonly isNew: boolean;
 }
 
-/** Parts that engines take in one path. */
+/** Parts that engines accept in one path. */
 const MAX_PARTS = 32;
 
-/** Cost of a hop, in ms for each token: a round on a local network. */
+/** Cost of a hop, in ms per token: a round trip on a local network. */
 const HOP_COST_MS = 0.3;
 
 /**
- * Cost, on top, of a first engine in another data centre: events cross once,
- * so it is the delay between data centres and a margin against swinging.
+ * Additional cost, in ms per token, of a first engine in another data centre: the delay
+ * between data centres, which events cross once, and a margin against oscillation.
  */
 const ENTRY_PLACE_COST_MS = 2;
 
 /**
- * Cost, on top, of leaving a data centre on the way: a prompt's activations
- * are thousands of times larger than the prompt, and all share one pipe.
+ * Additional cost, in ms per token, of continuing in another data centre: a prompt's
+ * activations are thousands of times larger than the prompt, and all requests share one
+ * link.
  */
-const PLACE_COST_MS = 12;
+const CROSS_PLACE_COST_MS = 12;
 
 /**
- * Share of an engine's memory for requests, and of its slots, that new requests
- * may fill. The rest is for streams that go on, for answers longer than usual,
- * and for what others have begun since they last told: an engine that runs out
- * cuts the newest stream off. Mean worth of five days with trouble on 38 engines,
- * single plays: 0.489 where engines alone decide, 0.499 with 0.9 and a cost that
- * rises from 0.6 of the memory on, 0.518 with 0.95 and the cost of a queue.
+ * Share of an engine's request memory, and of its slots, that new requests may fill.
+ * The remainder is for resumed streams, for answers longer than usual, and for requests
+ * started by other gateways since the last report: an engine whose memory runs out
+ * drops the newest stream. Mean score over five days with faults on 38 engines, one run
+ * each: 0.489 where only the engines decide, 0.499 with 0.9 and a cost that rises from
+ * 0.6 of the memory on, 0.518 with 0.95 and the cost of a queue.
  */
 const NEW_WORK_SHARE = 0.95;
 
 /**
- * Standard deviations by which a gateway's own requests grow by chance: their
- * number is counted as that of arrivals that don't know of each other. Without
- * them, nine gateways that each count their own growth for all fill a copy by
- * chance: mean worth of five days with trouble 0.473 in place of 0.489.
+ * Standard deviations of random growth of a gateway's own requests that are ignored;
+ * the requests are taken as independent arrivals. Without this allowance, nine gateways
+ * that each multiply their own growth by the number of gateways see a copy as full
+ * through random variation: mean score over five days with faults 0.473 instead of
+ * 0.489.
  */
-const CHANCE_DEVIATIONS = 2;
+const RANDOM_GROWTH_DEVIATIONS = 2;
 
 /**
- * Times its share of all requests that an engine may have got of those that
- * others began since they were last counted. With 200 gateways one request more
- * than chance explains would else count for 199 others: of 1,000 windows of half
- * a second at an even 1.2 requests a second and gateway, 3 make a copy look full
- * that is half empty (choose_path_test.ts).
+ * Upper bound on an engine's part of the requests that other gateways started since the
+ * last report, as a multiple of its share of all requests. With 200 gateways, one
+ * request more than random variation explains would otherwise count for 199 others: of
+ * 1,000 windows of half a second at a steady 1.2 requests per second and gateway, 3
+ * would make a half-empty copy look full (choose_path_test.ts).
  */
-const CONCENTRATION = 2;
+const MAX_GROWTH_CONCENTRATION = 2;
 
 /**
- * Share of an engine's memory for requests up to which it costs more and more,
- * as a queue does: by one over what is left.
+ * Share of an engine's request memory up to which its cost rises as in a queue: by one
+ * over the remaining share.
  */
-const MOST_USED_SHARE = 0.95;
+const MAX_QUEUE_COST_SHARE = 0.95;
 
 /**
- * Share of an engine's memory, and of its slots, up to which streams that go on
- * are sent there. What is counted here is what requests usually come to need.
+ * Share of an engine's memory, and of its slots, up to which resumed streams are sent
+ * to it. The usage counted here is what requests usually end up needing.
  */
 const RESUMED_WORK_SHARE = 1.1;
 
-/** Share of an engine's slots above which it costs more as the first. */
+/** Share of an engine's used slots above which its cost as the first engine rises. */
 const BUSY_SLOTS_SHARE = 0.4;
 
 /**
- * Cost of a first engine's share of taken slots, in ms for each token: more than
- * copies of a data centre differ, less than leaving it costs.
+ * Cost, in ms per token, of a first engine's share of used slots: more than the
+ * difference between the copies of a data centre, less than the cost of leaving it.
  */
 const SLOTS_COST_MS = 4;
 
-/** Cost of a first engine whose slots are all taken, in ms for each token. */
+/** Cost, in ms per token, of a first engine whose slots are all in use. */
 const FULL_SLOTS_COST_MS = 40;
 
 /**
- * Cost of a first engine for each prompt of this gateway that is being read
- * there. When an engine is lost, its streams all go on elsewhere in one moment:
- * some of them on a farther copy come sooner than all on the nearest.
+ * Cost, in ms per token, of a first engine for each prompt of this gateway that it is
+ * reading. When an engine is lost, all its streams are resumed at the same moment: some
+ * of them answer sooner on a farther copy than all of them on the nearest.
  */
-const UNREAD_PROMPT_COST_MS = 1;
+const PREFILLING_PROMPT_COST_MS = 1;
 
 /**
- * Cost of a first engine to which no connection stands idle: a round on a local
- * network, as a hop. Of engines that are alike a gateway stays with those that it
- * uses, up to some ten streams' difference in their load.
+ * Cost, in ms per token, of a first engine without an idle connection: a round trip on
+ * a local network, as for a hop. Among equal engines a gateway stays with those that it
+ * already uses, up to a difference of some ten streams in their load.
  */
 const NEW_CONNECTION_COST_MS = 0.3;
 
-/** Factor on the cost of an engine that has just refused for want of room. */
+/** Factor on the cost of an engine that has just rejected a request as full. */
 const REFUSED_FACTOR = 100;
 
 /**
- * Share of an engine's cost that is drawn on top where nobody's loads are known.
- * When all machines had lost power, 78 gateways came back within half a second and
- * sent what had waited to the engines that looked cheapest to all of them. In a
- * model of 78 gateways before twelve alike copies the busiest copy gets 1.8 times
- * the mean of 1,014 streams without it and 1.0 times with it (choose_path_test.ts).
+ * Share of an engine's cost that is added at random while no loads are known. After a
+ * power loss on all machines, 78 gateways came back within half a second and sent all
+ * queued requests to the engines that looked cheapest to each of them. In a model of 78
+ * gateways and twelve equal copies, the busiest copy gets 1.8 times the mean of 1,014
+ * streams without the random cost and 1.0 times with it (choose_path_test.ts).
  */
-const BLIND_COST_SHARE = 1;
+const RANDOM_COST_SHARE = 1;
 
 /**
- * Factor on the cost of an engine that has read the request already: another one would
- * read all its tokens anew, and needs memory for them.
+ * Factor on the cost of an engine that has already read the request: any other engine
+ * would have to read all its tokens again, and needs memory for them.
  */
-const HOLDER_FACTOR = 0.1;
+const CACHED_FACTOR = 0.1;
 
-/** Factor on an engine's cost where all its answers failed. */
+/** Factor on the cost of an engine all of whose answers failed. */
 const FAILURE_FACTOR = 10;
 
 /**
- * Chooses the path with the least expected time for a token.
+ * Chooses the path with the least expected time per token.
  *
- * @param engines - The engines that take new work.
- * @param options - The model, the gateway's place, who is excluded.
- * @returns The parts with addresses, or undefined where layers are missing.
+ * @param engines - The engines that accept new work.
+ * @param options - The model, the gateway's data centre, the excluded engines.
+ * @returns The parts with addresses, or undefined where no path has all layers.
  * @throws Nothing.
  * @example
  * const path = choosePath(table.listUsable(service), options);
@@ -181,17 +183,17 @@
   engines: readonly EngineView[],
   options: ChoosePathOptions,
 ): AddressedPart[] | undefined {
-  const { model, place, excluded, fromLayer, mayCross = true } = options;
+  const { model, place, excluded, fromLayer, mayCrossPlaces = true } = options;
   const layered = engines.filter(({ record }) => record.layers !== undefined);
-  const getMostGrowth = createGrowthBound(layered, options);
+  const getMaxGrowth = createGrowthLimit(layered, options);
   const usable = layered
     .filter(({ record }) => !excluded.has(record.engineId))
     .map((view) => ({
       view,
-      usage: getUsage(view, options, getMostGrowth(view)),
+      usage: getUsage(view, options, getMaxGrowth(view)),
     }))
     .filter(({ view, usage }) =>
-      isHolder(view, options) || hasRoom(usage, options.need)
+      hasCachedRequest(view, options) || hasCapacity(usage, options.need)
     );
   const views = new Map(usable.map(({ view }) => [view.record.engineId, view]));
   const path = findLayerPath(
@@ -202,7 +204,7 @@
       place,
       hopCost: HOP_COST_MS,
       entryPlaceCost: ENTRY_PLACE_COST_MS,
-      placeCost: mayCross ? PLACE_COST_MS : undefined,
+      placeCost: mayCrossPlaces ? CROSS_PLACE_COST_MS : undefined,
       maxParts: MAX_PARTS,
     },
   );
@@ -223,58 +225,58 @@
   const { engineId, place } = record;
   const range = record.layers ?? { fromLayer: 0, toLayer: 0 };
   const card = model.cards.find(({ name }) => name === record.card);
-  const { usedTokens, roomTokens } = usage;
+  const { usedTokens, capacityTokens } = usage;
   const requests = usedTokens / getUsualTokens(model);
   const stepMs = getBatchStepMs(model, { requests }) *
     (card?.stepFactor ?? 1) * getSlowness(view, nowMs) / model.layers;
-  const usedMemory = usedTokens / Math.max(1, roomTokens);
+  const usedMemory = usedTokens / Math.max(1, capacityTokens);
   const isFull = view.fullUntilMs > nowMs;
-  const blindCost = BLIND_COST_SHARE * (options.drawBlindly?.() ?? 0);
-  const layerCost = stepMs / (1 - Math.min(usedMemory, MOST_USED_SHARE)) *
+  const randomCost = RANDOM_COST_SHARE * (options.drawRandomCost?.() ?? 0);
+  const layerCost = stepMs / (1 - Math.min(usedMemory, MAX_QUEUE_COST_SHARE)) *
     (1 + failureShare * FAILURE_FACTOR) * (isFull ? REFUSED_FACTOR : 1) *
-    (1 + blindCost) * (isHolder(view, options) ? HOLDER_FACTOR : 1);
+    (1 + randomCost) * (hasCachedRequest(view, options) ? CACHED_FACTOR : 1);
   const firstCost = range.fromLayer === 0
     ? getFirstCost(view, usage, options)
     : undefined;
   return { engineId, place, ...range, layerCost, firstCost };
 }
 
-function isHolder(
+function hasCachedRequest(
   { record }: EngineView,
-  { holders }: ChoosePathOptions,
+  { cachedEngineIds }: ChoosePathOptions,
 ): boolean {
-  return holders?.has(record.engineId) ?? false;
+  return cachedEngineIds?.has(record.engineId) ?? false;
 }
 
 function getFirstCost(
   { unreadPrompts, record }: EngineView,
   { usedSlotsShare }: EngineUsage,
-  { need, hasIdleConnection, mayBegin }: ChoosePathOptions,
+  { need, hasIdleConnection, canStartAt }: ChoosePathOptions,
 ): number | undefined {
-  if (mayBegin?.(record.engineId) === false) return undefined;
+  if (canStartAt?.(record.engineId) === false) return undefined;
   if (need && usedSlotsShare >= getUsableShare(need)) return undefined;
   const isConnected = hasIdleConnection?.(record.engineId) ?? true;
   return FULL_SLOTS_COST_MS * getExcess(usedSlotsShare, BUSY_SLOTS_SHARE) +
-    SLOTS_COST_MS * usedSlotsShare + UNREAD_PROMPT_COST_MS * unreadPrompts +
+    SLOTS_COST_MS * usedSlotsShare + PREFILLING_PROMPT_COST_MS * unreadPrompts +
     (isConnected ? 0 : NEW_CONNECTION_COST_MS);
 }
 
-/** What all gateways together have on an engine, as far as it is known. */
+/** Work of all gateways on an engine, as far as it is known. */
 interface EngineUsage {
   readonly usedTokens: number;
-  /** Tokens for which it has memory. */
-  readonly roomTokens: number;
-  /** Share of its slots that requests take that begin there. */
+  /** Tokens that fit into its memory. */
+  readonly capacityTokens: number;
+  /** Share of its slots used by requests that start there. */
   readonly usedSlotsShare: number;
 }
 
-// What the others began spreads over engines as what they have in flight does; an
-// engine on which they have little may get an even part.
-function createGrowthBound(
+// Assumes that the requests started by other gateways are distributed over engines as
+// their reported ones are. An engine with few reported requests may get an even share.
+function createGrowthLimit(
   holders: readonly EngineView[],
-  { model, mostGrowth = Infinity }: ChoosePathOptions,
+  { model, maxUnreportedRequests = Infinity }: ChoosePathOptions,
 ): (view: EngineView) => number {
-  if (mostGrowth === Infinity) return () => Infinity;
+  if (maxUnreportedRequests === Infinity) return () => Infinity;
   const allRequests = holders
     .reduce((sum, { otherRequests }) => sum + otherRequests, 0);
   const firstHolders = holders
@@ -283,35 +285,41 @@
   return ({ otherTokens }) => {
     const requests = otherTokens / getUsualTokens(model);
     const share = Math.max(evenShare, requests / Math.max(1, allRequests));
-    return mostGrowth * Math.min(1, CONCENTRATION * share);
+    return maxUnreportedRequests *
+      Math.min(1, MAX_GROWTH_CONCENTRATION * share);
   };
 }
 
-// The other gateways' work is known with a lag. Where this one has taken on more
-// since then than chance explains, as when a copy is lost, the others have too,
-// but no more than there was to begin.
+// The work of other gateways is known with a delay. Where this gateway has taken on
+// more since the last report than random variation explains, as when a copy is lost,
+// the others are assumed to have done the same, but at most as much as there was to
+// start.
 function getUsage(
   view: EngineView,
   options: ChoosePathOptions,
-  mostGrowth: number,
+  maxUnreportedRequests: number,
 ): EngineUsage {
   const { model, gatewayCount } = options;
   const { tokensInFlight, tokensThen } = view;
   const usualTokens = getUsualTokens(model);
-  const then = tokensThen / usualTokens;
-  const chance = CHANCE_DEVIATIONS * Math.sqrt(then + 1);
-  const surge = Math.max(0, tokensInFlight / usualTokens - then - chance);
-  const others = Math.min(surge * (gatewayCount - 1), mostGrowth);
-  const told = getToldWork(view, options.expected);
-  const requests = view.inFlight + (told.requests + others);
+  const requestsAtReport = tokensThen / usualTokens;
+  const randomGrowth = RANDOM_GROWTH_DEVIATIONS *
+    Math.sqrt(requestsAtReport + 1);
+  const surge = Math.max(
+    0,
+    tokensInFlight / usualTokens - requestsAtReport - randomGrowth,
+  );
+  const growth = Math.min(surge * (gatewayCount - 1), maxUnreportedRequests);
+  const othersWork = estimateOthersWork(view, options.expected);
+  const requests = view.inFlight + (othersWork.requests + growth);
   return {
-    usedTokens: tokensInFlight + (told.tokens + others * usualTokens),
-    roomTokens: getRoom(view, model),
+    usedTokens: tokensInFlight + (othersWork.tokens + growth * usualTokens),
+    capacityTokens: getTokenCapacity(view, model),
     usedSlotsShare: requests / view.record.slots,
   };
 }
 
-function getToldWork(
+function estimateOthersWork(
   { record, otherTokens, otherRequests }: EngineView,
   expected: ExpectedWork | undefined,
 ): { tokens: number; requests: number } {
@@ -323,24 +331,24 @@
   };
 }
 
-function hasRoom(
-  { usedTokens, roomTokens }: EngineUsage,
+function hasCapacity(
+  { usedTokens, capacityTokens }: EngineUsage,
   need: PathNeed | undefined,
 ): boolean {
   if (!need) return true;
-  return usedTokens + need.tokens <= roomTokens * getUsableShare(need);
+  return usedTokens + need.tokens <= capacityTokens * getUsableShare(need);
 }
 
 function getUsableShare({ isNew }: PathNeed): number {
   return isNew ? NEW_WORK_SHARE : RESUMED_WORK_SHARE;
 }
 
-/** How far a share is above a threshold: 0 below it, 1 at the whole, and on. */
+/** How far a share exceeds a threshold: 0 below it, 1 at a share of 1, more above. */
 function getExcess(share: number, threshold: number): number {
   return Math.max(0, share - threshold) / (1 - threshold);
 }
 
-function getRoom({ record }: EngineView, model: LayeredModel): number {
+function getTokenCapacity({ record }: EngineView, model: LayeredModel): number {
   const { layers, card: cardName } = record;
   const card = model.cards.find(({ name }) => name === cardName);
   if (!layers || !card) return 0;
--- a/src/gateway/choose_path_test.ts
+++ b/src/gateway/choose_path_test.ts
@@ -12,7 +12,7 @@
   ],
 });
 
-test("streams that lose their copy in one moment go on over several others", () => {
+test("streams that lose their copy at the same moment are resumed on several others", () => {
   const table = createEngineTable({
     now: () => 0,
     log: () => {},
@@ -51,7 +51,7 @@
   assert.is(begin().engineId, "b");
 });
 
-test("few prompts at a time are read across data centres, whatever it costs", () => {
+test("prompts read across data centres are counted, and avoided on request at any cost", () => {
   const table = createEngineTable({
     now: () => 0,
     log: () => {},
@@ -69,13 +69,13 @@
   });
   const engines = [makeHalf("a", 0), makeHalf("b", 4)];
   table.take({ type: "engines", isWhole: true, engines, gone: [] });
-  const choose = (mayCross: boolean) =>
+  const choose = (mayCrossPlaces: boolean) =>
     choosePath(table.listUsable("model"), {
       model: MODEL,
       place: "a",
       gatewayCount: 1,
       excluded: new Set(),
-      mayCross,
+      mayCrossPlaces,
       nowMs: 0,
     });
   const path = choose(true);
@@ -96,7 +96,7 @@
   assert.equal(choose(false)?.map(({ engineId }) => engineId), ["c0"]);
 });
 
-test("of alike engines one with an idle connection is taken, until it has more to do", () => {
+test("among equal engines one with an idle connection is chosen, until its load is higher", () => {
   const table = createEngineTable({
     now: () => 0,
     log: () => {},
@@ -128,10 +128,10 @@
   assert.is(choose(), "a");
 });
 
-/** Gateways that come back together, and streams that each of them lets in. */
+/** Gateways that return at the same moment, and streams that each of them starts. */
 const RETURNING = { gateways: 78, streams: 13 };
 
-test("gateways that know no loads spread what has waited over alike copies", () => {
+test("gateways that know no loads spread queued requests over equal copies", () => {
   const copies = Array.from({ length: 12 }, (_, at) => `copy-${at}`);
   const engines = copies.flatMap((copy) =>
     [0, 4].map((fromLayer) => ({
@@ -146,7 +146,7 @@
     }))
   );
   const random = createRandomSource(7).number;
-  const countBusiest = (drawBlindly: (() => number) | undefined): number => {
+  const countBusiest = (drawRandomCost: (() => number) | undefined): number => {
     const counts = new Map<string, number>();
     for (let at = 0; at < RETURNING.gateways; at++) {
       const table = createEngineTable({
@@ -160,7 +160,7 @@
           model: { ...MODEL, slots: 134 },
           place: "a",
           gatewayCount: RETURNING.gateways,
-          drawBlindly,
+          drawRandomCost,
           excluded: new Set(),
           nowMs: 0,
         }) ?? [];
@@ -175,15 +175,15 @@
   const mean = RETURNING.gateways * RETURNING.streams / copies.length;
   const alike = countBusiest(undefined) / mean;
   const drawn = countBusiest(random) / mean;
-  // Before and after: 1.8 and 1.0 times the mean on the busiest copy.
+  // Load of the busiest copy over the mean: 1.8 without the random cost, 1.0 with it.
   assert.is(alike.toFixed(1), "1.8");
   assert.is(drawn.toFixed(1), "1.0");
 });
 
-/** Mean streams that each of 200 gateways begins in half a second. */
+/** Mean streams that each of 200 gateways starts in half a second. */
 const MEAN_BEGUN = 0.6;
 
-test("a surge at one of 200 gateways doesn't fill engines that are half empty", () => {
+test("a surge at one of 200 gateways doesn't make half-empty engines look full", () => {
   const table = createEngineTable({
     now: () => 0,
     log: () => {},
@@ -207,20 +207,21 @@
   table.takeLoads(Object.fromEntries(ids.map((id) => [id, half])));
   const path = [{ engineId: "e0", fromLayer: 0, toLayer: 8 }];
   for (let begun = 0; begun < 4; begun++) table.addWork(path, { tokens: 40 });
-  const hasRoom = (mostGrowth: number | undefined) =>
+  const hasRoom = (maxUnreportedRequests: number | undefined) =>
     choosePath(table.listUsable("model"), {
       model: room,
       place: "p",
       gatewayCount: 200,
-      mostGrowth,
+      maxUnreportedRequests,
       excluded: new Set(ids.slice(1)),
       nowMs: 0,
       need: { tokens: 40, isNew: true },
     }) !== undefined;
-  // Four begun where 0.6 are usual: once in 300 windows of half a second.
+  // Four streams started where the mean is 0.6: this occurs in one of 300 windows of
+  // half a second.
   assert.not(hasRoom(undefined));
   assert.ok(hasRoom(200 * MEAN_BEGUN));
-  // Where 300 streams had to leave lost copies besides, all have such a surge.
+  // Where another 300 streams had to leave lost copies, all gateways see such a surge.
   assert.not(hasRoom(200 * MEAN_BEGUN + 300));
 });
 
--- a/src/gateway/choose_run_path.ts
+++ b/src/gateway/choose_run_path.ts
@@ -1,5 +1,5 @@
 /**
- * Chooses where a stream's next run goes, suspected requests apart from each other.
+ * Chooses the path for the next run of a stream, and keeps suspected requests apart.
  *
  * @module
  */
@@ -12,20 +12,22 @@
 import { listBeginners } from "./create_run_permit.ts";
 import type { Call, ServingContext } from "./types.ts";
 
-/** Who is left out, and where a trial begins. */
+/** What the path has to avoid, and where a trial starts. */
 export interface ChooseRunPathOptions extends ChooseCallPathOptions {
-  /** Upstream where the run has to begin, if any. */
+  /** Upstream at which the run has to start, if any. */
   readonly trialEngineId: string | undefined;
 }
 
 /**
- * Chooses the path of a run. Of the requests that had just begun when an upstream
- * ended one may be at fault: where they all go on at the same upstream it ends too,
- * and the others are suspected again (up to 49 of them met so within 3 s).
+ * Chooses the path of a run. When an upstream crashes, any of the requests that it had
+ * just started may be the cause. If all of them were resumed at the same upstream it
+ * would crash too, and the innocent ones would be suspected again (up to 49 requests
+ * met this way within 3 s). Suspected requests are therefore sent to different
+ * upstreams.
  *
  * @param call - The call.
  * @param context - The engines, the quarantine and the time.
- * @param options - Who is left out, where it has to begin.
+ * @param options - What the path has to avoid, and where it has to start.
  * @returns The path, or why there is none.
  * @throws Nothing.
  * @example
@@ -42,14 +44,17 @@
     const others = listBeginners(call, context)
       .map(({ record }) => record.engineId)
       .filter((id) => id !== trialEngineId);
-    const without = new Set([...excluded, ...others]);
-    return chooseCallPath(call, context, { need, excluded: without });
+    const avoided = new Set([...excluded, ...others]);
+    return chooseCallPath(call, context, { need, excluded: avoided });
   }
   if (context.quarantine.isSuspect(requestKey)) {
-    const taken = context.quarantine.listTaken(requestKey);
-    const without = new Set([...excluded, ...taken]);
-    const apart = chooseCallPath(call, context, { need, excluded: without });
-    if (apart.type === "path") return apart;
+    const usedEngineIds = context.quarantine.listTaken(requestKey);
+    const avoided = new Set([...excluded, ...usedEngineIds]);
+    const separateChoice = chooseCallPath(call, context, {
+      need,
+      excluded: avoided,
+    });
+    if (separateChoice.type === "path") return separateChoice;
   }
   return chooseCallPath(call, context, { need, excluded });
 }
--- a/src/gateway/create_engine_notices.ts
+++ b/src/gateway/create_engine_notices.ts
@@ -1,7 +1,7 @@
 /**
- * What upstreams said of themselves in their answers to this gateway: that they
- * ask to be left alone for a while, and that they leave. Both are of one run of an upstream, and outlast
- * whatever the leader tells of it meanwhile.
+ * Notices that upstreams gave in their responses to this gateway: requests to back off,
+ * and that they are leaving. A notice belongs to one incarnation of an upstream and
+ * stays in force whatever the leader reports of it meanwhile.
  *
  * @module
  */
@@ -11,87 +11,95 @@
 import type { Logger } from "../logs/index.ts";
 import type { Metrics } from "../metrics/index.ts";
 
-/** What upstreams said of themselves, by their runs. */
+/** Notices of upstreams, by incarnation. */
 export interface EngineNotices {
-  /** Takes what one said in an answer. */
+  /** Records a notice that an upstream gave in a response. */
   take(engineId: string, notice: EngineNotice): void;
-  /** Ms for which one still wants nothing of this gateway; 0 where it doesn't. */
+  /** Remaining ms of an upstream's back-off; 0 where none is in force. */
   getBackOffLeftMs(engineId: string): number;
-  /** Whether one has asked to be left alone, or takes few requests right after that. */
+  /**
+   * Whether an upstream is backed off, or has as many pending requests as it may have
+   * right after a back-off.
+   */
   isBackedOff(engineId: string): boolean;
-  /** Whether one has said that it leaves. */
+  /** Whether an upstream has announced that it is leaving. */
   isLeaving(engineId: string): boolean;
-  /** Runs that have said that they leave. */
+  /** Incarnations that have announced that they are leaving. */
   listLeaving(): readonly string[];
-  /** Whether one may be asked how it is; notes that it is. */
+  /** Whether an upstream may be probed now; counts the probe. */
   takeQuestion(engineId: string): boolean;
   /**
-   * Notes that a request is sent to one. What is returned is called once it has
-   * answered, or once it is known that it won't.
+   * Counts a request that is sent to an upstream. The function returned is called once
+   * it has responded, or once it is known that it won't.
    */
   beginSend(engineId: string): (answer: { readonly isTaken: boolean }) => void;
-  /** Upstreams that have asked to be left alone. */
+  /** Number of upstreams whose back-off is running. */
   countBackedOff(): number;
 }
 
-/** What the notices need of their program. */
+/** Dependencies of the notices. */
 export interface CreateEngineNoticesOptions {
   /**
-   * Steady time, in ms. A clock that gains, as one does that counts suspensions and
-   * takes a step of the time of day for one, would end a back-off too soon.
+   * Monotonic time, in ms, that doesn't count suspensions. A clock that does may take a
+   * step of the time of day for a suspension, and would end a back-off too soon.
    */
   readonly steadyNow: () => number;
   /** A number in [0, 1). */
   readonly random: () => number;
   readonly log: Logger;
   readonly metrics: Pick<Metrics, "count">;
-  /** How gateways come back; by default spread, and one request first. */
+  /**
+   * How gateways return after a back-off; by default with jitter, and one request
+   * first.
+   */
   readonly comeBack?: ComeBack;
 }
 
-/** How gateways come back to an upstream after a back-off. */
+/** How gateways return to an upstream after a back-off. */
 export interface ComeBack {
-  /** Share of a back-off by which it is drawn out at random, at most. */
+  /** Upper bound of the random extension of a back-off, as a share of its length. */
   readonly spreadShare: number;
-  /** Requests that may wait for its answer at first; doubled by each it takes. */
+  /** Requests that may be pending at first; each one accepted doubles the limit. */
   readonly firstWindow: number;
 }
 
-/** Window from which on an upstream is used as any other. */
-const OPEN_WINDOW = 16;
+/** Window from which on an upstream is no longer limited. */
+const MAX_WINDOW = 16;
 
-/** Leaving runs that are remembered; the oldest are forgotten first. */
+/** Leaving incarnations that are kept; the oldest are dropped first. */
 const MAX_LEAVING = 5_000;
 
-/** Questions during a back-off: whether it is there at all. */
-const QUESTIONS_PER_BACK_OFF = 1;
+/** Probes allowed during a back-off, to find out whether the upstream still exists. */
+const PROBES_PER_BACK_OFF = 1;
 
 /**
- * Gateways that have been asked to back off in the same moment don't come back in the
- * same one, and each with one request first. In a model of 11 gateways before 3
- * upstreams under 0.8 of what they can bear, 0.44 of requests are answered in time
- * where all come back together, 0.57 spread, 0.73 with one request first, 0.77 with
- * both (npm run measure -- rest).
+ * Gateways that were asked to back off at the same moment return at different moments,
+ * and each with a single request first. In a model of 11 gateways and 3 upstreams at
+ * 0.8 of their capacity, 0.44 of the requests are answered in time where all return at
+ * once, 0.57 with jitter, 0.73 with one request first, 0.77 with both (npm run measure
+ * -- rest).
  */
-const COME_BACK: ComeBack = { spreadShare: 0.1, firstWindow: 1 };
+const DEFAULT_SLOW_START: ComeBack = { spreadShare: 0.1, firstWindow: 1 };
 
-/** Ms after its end at which a back-off is forgotten, whether or not anybody came back. */
-const FORGET_AFTER_MS = 60_000;
+/**
+ * Ms after its end at which a back-off is dropped, whether or not requests were sent.
+ */
+const RETENTION_MS = 60_000;
 
 interface BackOff {
-  /** Steady time, in ms, at which it ends. */
+  /** Steady time, in ms, at which the back-off ends. */
   endMs: number;
-  /** Requests that may wait for an answer once it has ended. */
+  /** Requests that may be pending once the back-off has ended. */
   window: number;
-  /** Requests that wait for an answer, of those sent since the back-off was asked for. */
+  /** Requests without a response, of those sent since the back-off was requested. */
   pending: number;
-  questionsLeft: number;
+  probesLeft: number;
 }
 
 /**
- * Makes the notices, empty.
+ * Creates an empty record of notices.
  *
- * @param options - The time, chance, logs and metrics.
+ * @param options - The clock, the random source, log and metrics.
  * @returns The notices.
  * @throws Nothing.
  * @example
@@ -100,7 +108,8 @@
 export function createEngineNotices(
   options: CreateEngineNoticesOptions,
 ): EngineNotices {
-  const { steadyNow, random, log, metrics, comeBack = COME_BACK } = options;
+  const { steadyNow, random, log, metrics, comeBack = DEFAULT_SLOW_START } =
+    options;
   const backOffs = new Map<string, BackOff>();
   const leaving = new Set<string>();
 
@@ -111,48 +120,48 @@
   function getBackOff(engineId: string): BackOff {
     const known = backOffs.get(engineId);
     if (known) return known;
-    const backOff = { endMs: 0, window: 0, pending: 0, questionsLeft: 0 };
+    const backOff = { endMs: 0, window: 0, pending: 0, probesLeft: 0 };
     backOffs.set(engineId, backOff);
     return backOff;
   }
 
-  function forgetOld(): void {
-    const oldestMs = steadyNow() - FORGET_AFTER_MS;
+  function deleteExpired(): void {
+    const oldestMs = steadyNow() - RETENTION_MS;
     for (const [engineId, { endMs }] of backOffs) {
       if (endMs < oldestMs) backOffs.delete(engineId);
     }
   }
 
-  function takeBackOff(engineId: string, backOffMs: number): void {
-    forgetOld();
-    const spreadMs = backOffMs * comeBack.spreadShare * random();
+  function recordBackOff(engineId: string, backOffMs: number): void {
+    deleteExpired();
+    const jitterMs = backOffMs * comeBack.spreadShare * random();
     const backOff = getBackOff(engineId);
-    if (!isRunning(backOff)) backOff.questionsLeft = QUESTIONS_PER_BACK_OFF;
-    // A shorter one that is asked for later doesn't end a longer one.
-    backOff.endMs = Math.max(backOff.endMs, steadyNow() + backOffMs + spreadMs);
+    if (!isRunning(backOff)) backOff.probesLeft = PROBES_PER_BACK_OFF;
+    // A shorter back-off that is requested later doesn't end a longer one.
+    backOff.endMs = Math.max(backOff.endMs, steadyNow() + backOffMs + jitterMs);
     backOff.window = comeBack.firstWindow;
     metrics.count("engines.rests_asked");
     log("engineAsksForBackOff", { engineId, backOffMs });
   }
 
-  function takeLeave(engineId: string): void {
+  function recordLeaving(engineId: string): void {
     if (leaving.has(engineId)) return;
     leaving.add(engineId);
     forgetOldest(leaving, MAX_LEAVING);
     log("engineSaysLeaving", { engineId });
   }
 
-  // An answer to what was sent after an earlier back-off says nothing of a later one.
-  function widen(engineId: string, backOff: BackOff): void {
+  // A response to a request sent after an earlier back-off doesn't widen a later one.
+  function widenWindow(engineId: string, backOff: BackOff): void {
     backOff.window *= 2;
     const isNewest = backOffs.get(engineId) === backOff;
-    if (isNewest && backOff.window >= OPEN_WINDOW) backOffs.delete(engineId);
+    if (isNewest && backOff.window >= MAX_WINDOW) backOffs.delete(engineId);
   }
 
   return {
     take(engineId, { backOffMs, isLeaving }) {
-      if (isLeaving) takeLeave(engineId);
-      if (backOffMs !== undefined) takeBackOff(engineId, backOffMs);
+      if (isLeaving) recordLeaving(engineId);
+      if (backOffMs !== undefined) recordBackOff(engineId, backOffMs);
     },
     getBackOffLeftMs(engineId) {
       const endMs = backOffs.get(engineId)?.endMs ?? -Infinity;
@@ -168,8 +177,8 @@
     takeQuestion(engineId) {
       const backOff = backOffs.get(engineId);
       if (!backOff || !isRunning(backOff)) return true;
-      if (backOff.questionsLeft === 0) return false;
-      backOff.questionsLeft -= 1;
+      if (backOff.probesLeft === 0) return false;
+      backOff.probesLeft -= 1;
       return true;
     },
     beginSend(engineId) {
@@ -181,7 +190,7 @@
         if (isAnswered) return;
         isAnswered = true;
         backOff.pending -= 1;
-        if (isTaken && !isRunning(backOff)) widen(engineId, backOff);
+        if (isTaken && !isRunning(backOff)) widenWindow(engineId, backOff);
       };
     },
     countBackedOff: () => [...backOffs.values()].filter(isRunning).length,
--- a/src/gateway/create_engine_notices_test.ts
+++ b/src/gateway/create_engine_notices_test.ts
@@ -12,14 +12,14 @@
     log: (name) => void logged.push(name),
     metrics: { count: () => {} },
   });
-  const rest = (engineId: string, backOffMs: number) =>
+  const backOff = (engineId: string, backOffMs: number) =>
     notices.take(engineId, { backOffMs, isLeaving: false });
-  return { clock, logged, notices, rest };
+  return { clock, logged, notices, backOff };
 }
 
-test("a rest lasts for as long as it was asked for", () => {
-  const { clock, logged, notices, rest } = makeNotices();
-  rest("a", 300);
+test("a back-off lasts as long as requested", () => {
+  const { clock, logged, notices, backOff } = makeNotices();
+  backOff("a", 300);
   assert.equal(logged, ["engineAsksForBackOff"]);
   assert.is(notices.getBackOffLeftMs("a"), 300);
   assert.is(notices.getBackOffLeftMs("b"), 0);
@@ -29,27 +29,27 @@
   assert.not.ok(notices.isBackedOff("a"));
 });
 
-test("a shorter rest that is asked for later does not end a longer one", () => {
-  const { clock, notices, rest } = makeNotices();
-  rest("a", 3_000);
+test("a shorter back-off requested later does not end a longer one", () => {
+  const { clock, notices, backOff } = makeNotices();
+  backOff("a", 3_000);
   clock.ms += 100;
-  rest("a", 500);
+  backOff("a", 500);
   notices.take("a", { isLeaving: false });
   assert.is(notices.getBackOffLeftMs("a"), 2_900);
 });
 
-test("gateways come back at different times, and never too soon", () => {
+test("gateways return at different times, and never too soon", () => {
   for (const random of [0, 0.5, 0.99]) {
-    const { notices, rest } = makeNotices({ random });
-    rest("a", 1_000);
+    const { notices, backOff } = makeNotices({ random });
+    backOff("a", 1_000);
     const leftMs = notices.getBackOffLeftMs("a");
     assert.ok(leftMs >= 1_000 && leftMs <= 1_500, String(leftMs));
   }
 });
 
-test("after a rest one request goes first, and each that is taken lets in more", () => {
-  const { clock, notices, rest } = makeNotices();
-  rest("a", 100);
+test("after a back-off one request is sent first, and each one accepted allows more", () => {
+  const { clock, notices, backOff } = makeNotices();
+  backOff("a", 100);
   clock.ms += 100;
   const sendAll = () => {
     const ends = [];
@@ -64,12 +64,12 @@
   assert.is(sendAll().length, 2);
 });
 
-test("one that turns the first request away is asked by one again", () => {
-  const { clock, notices, rest } = makeNotices();
-  rest("a", 100);
+test("an upstream that rejects the first request gets a single one again", () => {
+  const { clock, notices, backOff } = makeNotices();
+  backOff("a", 100);
   clock.ms += 100;
   const end = notices.beginSend("a");
-  rest("a", 100);
+  backOff("a", 100);
   end({ isTaken: false });
   clock.ms += 100;
   assert.not.ok(notices.isBackedOff("a"));
@@ -77,44 +77,44 @@
   assert.ok(notices.isBackedOff("a"));
 });
 
-test("what was sent before a rest and ends after it counts for nothing", () => {
-  const { clock, notices, rest } = makeNotices();
+test("requests sent before a back-off and answered after it don't widen the window", () => {
+  const { clock, notices, backOff } = makeNotices();
   const early = notices.beginSend("a");
-  rest("a", 100);
+  backOff("a", 100);
   clock.ms += 100;
   early({ isTaken: true });
   notices.beginSend("a");
   assert.ok(notices.isBackedOff("a"));
 });
 
-test("answers to what went before a later rest do not end it", () => {
-  const { clock, notices, rest } = makeNotices();
-  rest("a", 100);
+test("answers to requests sent before a later back-off do not end it", () => {
+  const { clock, notices, backOff } = makeNotices();
+  backOff("a", 100);
   clock.ms += 100;
-  // One after the other is taken until it is used as any other again.
+  // Requests are accepted one by one until the upstream is no longer limited.
   const ends = [];
   for (let at = 0; at < 40; at++) {
     const end = notices.beginSend("a");
     if (at % 2 === 0) end({ isTaken: true });
     else ends.push(end);
   }
-  rest("a", 1_000);
+  backOff("a", 1_000);
   ends.forEach((end) => end({ isTaken: true }));
   assert.is(notices.getBackOffLeftMs("a"), 1_000);
 });
 
-test("while one rests a single question tells whether it is there", () => {
-  const { clock, notices, rest } = makeNotices();
+test("a single probe is allowed during a back-off", () => {
+  const { clock, notices, backOff } = makeNotices();
   assert.ok(notices.takeQuestion("a"));
-  rest("a", 1_000);
+  backOff("a", 1_000);
   assert.ok(notices.takeQuestion("a"));
-  rest("a", 1_000);
+  backOff("a", 1_000);
   assert.not.ok(notices.takeQuestion("a"));
   clock.ms += 1_000;
   assert.ok(notices.takeQuestion("a"));
 });
 
-test("a leave is never unlearnt, whatever its run says later", () => {
+test("a leaving notice stays in force, whatever the incarnation reports later", () => {
   const { notices, logged } = makeNotices();
   notices.take("a@1", { isLeaving: true });
   notices.take("a@1", { isLeaving: false });
@@ -124,9 +124,9 @@
   assert.equal(logged, ["engineSaysLeaving"]);
 });
 
-test("many that rest are counted while they do", () => {
-  const { clock, notices, rest } = makeNotices();
-  for (let at = 0; at < 1_000; at++) rest(`e${at}`, 100 + at);
+test("upstreams are counted while they are backed off", () => {
+  const { clock, notices, backOff } = makeNotices();
+  for (let at = 0; at < 1_000; at++) backOff(`e${at}`, 100 + at);
   assert.is(notices.countBackedOff(), 1_000);
   clock.ms += 600;
   assert.is(notices.countBackedOff(), 499);
--- a/src/gateway/create_engine_table.ts
+++ b/src/gateway/create_engine_table.ts
@@ -1,6 +1,6 @@
 /**
- * The upstreams as a gateway knows them: what the leader told, and what the
- * gateway itself saw.
+ * The upstreams as a gateway knows them: from the leader's reports, and from the
+ * gateway's own observations.
  *
  * @module
  */
@@ -24,114 +24,123 @@
 /** The upstreams as a gateway knows them. */
 export interface EngineTable {
   take(message: LeaderMessage & { type: "engines" }): void;
-  /** Takes what all gateways have in flight, as the leader sums it up. */
+  /** Updates the load of all gateways, as summed up by the leader. */
   takeLoads(loads: EngineLoads): void;
-  /** Age, in ms, of the loads that the leader last told of, on average. */
+  /** Mean age, in ms, of the last loads that the leader reported. */
   getLoadsAgeMs(): number;
-  /** Requests of other gateways on engines that were lost since about then. */
+  /**
+   * Requests of other gateways on engines that were lost since about the last report.
+   */
   getDisplacedRequests(): number;
-  /** What this gateway has in flight; the leader is told so. */
+  /** Work that this gateway has in flight, for the report to the leader. */
   getLoads(): EngineLoads;
-  /** Upstreams of a service that take new work. */
+  /** Upstreams of a service that accept new work. */
   listUsable(service: string): EngineView[];
-  /** Those that would take it, but want nothing of this gateway for now. */
+  /** Upstreams that would accept new work, but have asked this gateway to back off. */
   listBackedOff(service: string): EngineView[];
   /**
-   * Whether one leaves, by what the leader or it itself has said. One that is no
-   * longer registered may have left without a notice.
+   * Whether an upstream is leaving, as reported by the leader or by itself. One that is
+   * no longer registered may have left without a notice.
    */
   isLeaving(engineId: string): boolean;
-  /** Runs that said so to this gateway, and of which the leader doesn't know yet. */
+  /**
+   * Incarnations that announced to this gateway that they leave, unknown to the leader.
+   */
   listUntoldLeaves(): readonly string[];
   get(engineId: string): EngineView | undefined;
   /**
-   * Whether one has ended, as far as is known. One that left without draining still
-   * serves what it has.
+   * Whether an upstream has ended, as far as is known. One that left without draining
+   * still serves its requests.
    */
   hasEnded(engineId: string): boolean;
-  /** Notes that one has surely ended, whatever the leader still tells of it. */
+  /**
+   * Records that an upstream has certainly ended, whatever the leader still reports.
+   */
   noteEnded(engineId: string): void;
-  /** Counts a request in on the engines of its path. */
+  /** Adds a request to the load of the engines of its path. */
   addWork(path: readonly PathPart[], work: { tokens: number }): void;
-  /** Counts a request out again. */
+  /** Removes a request from the load of the engines of its path. */
   removeWork(path: readonly PathPart[], work: { tokens: number }): void;
-  /** Counts a prompt that is read over a path until what it returns is called. */
+  /**
+   * Counts a prompt that is being read over a path, until the function returned is
+   * called.
+   */
   beginPrompt(path: readonly PathPart[]): () => void;
-  /** Prompts of this gateway that are read across data centres. */
+  /** Prompts of this gateway that are being read across data centres. */
   getCrossingPrompts(): number;
-  /** Leaves an upstream out for a while; longer each time in a row. */
+  /** Excludes an upstream for a while; for longer each time in a row. */
   suspect(engineId: string, reason: string): void;
-  /** The same for one that others found lost: the leader knows already. */
+  /** Excludes an upstream that others found lost: the leader already knows. */
   takeLost(engineId: string): void;
-  /** Leaves an upstream out for a moment: it had no room. */
+  /** Excludes an upstream for a moment: it had no free capacity. */
   noteFull(engineId: string): void;
-  /** Notes how slow it says that it is; 1 where it is not. */
+  /** Records how slow an upstream reports itself to be; 1 where it is not slow. */
   notePace(engineId: string, pace: number): void;
-  /** Notes how an answer ended. */
+  /** Records whether an answer succeeded. */
   noteAnswer(engineId: string, outcome: { failed: boolean }): void;
   /** Upstreams suspected since the last call. */
   takeSuspects(): readonly string[];
   getSize(): number;
 }
 
-/** What upstreams have said of themselves, as far as the table goes by it. */
-type NoticesInForce = Pick<
+/** The notices of upstreams that the table takes into account. */
+type TableNotices = Pick<
   EngineNotices,
   "isBackedOff" | "isLeaving" | "listLeaving"
 >;
 
-const NO_NOTICES: NoticesInForce = {
+const NO_NOTICES: TableNotices = {
   isBackedOff: () => false,
   isLeaving: () => false,
   listLeaving: () => [],
 };
 
-/** Ms for which a suspected upstream is left out at first. */
-const SUSPECT_MS = 1_500;
+/** Ms for which a suspected upstream is excluded at first. */
+const MIN_SUSPECT_MS = 1_500;
 
-/** Ms for which it is left out at most. */
+/** Ms for which a suspected upstream is excluded at most. */
 const MAX_SUSPECT_MS = 6_000;
 
-/** Ms for which an upstream that had no room is not asked again. */
+/** Ms for which an upstream without free capacity is excluded. */
 const FULL_MS = 200;
 
 /**
- * Ms for which requests of a lost engine are not yet in what the leader tells:
- * gateways tell it three times a second, and it tells them twice.
+ * Ms for which requests of a lost engine are missing from the leader's load reports:
+ * gateways report to the leader three times a second, and it reports to them twice.
  */
-const DISPLACED_AGE_MS = 1_000;
+const DISPLACED_RETENTION_MS = 1_000;
 
 /**
- * Ms by which loads are older than the news of them, on average: gateways tell the
- * leader each 350 ms.
+ * Ms by which loads are older than the report that carries them, on average: gateways
+ * report to the leader every 350 ms.
  */
 const LOADS_LAG_MS = 200;
 
 /**
- * Gone upstreams that still serve, and ended ones, which are remembered; the oldest
- * go first.
+ * Departed upstreams that still serve, and ended ones, that are kept; the oldest are
+ * dropped first.
  */
 const MAX_REMEMBERED = 1_000;
 
-/** Weight of the newest answer in the smoothed share of failures. */
+/** Weight of the newest answer in the smoothed failure rate. */
 const FAILURE_WEIGHT = 0.2;
 
 /**
- * Makes the table, empty.
+ * Creates an empty table.
  *
- * @param options - The time, who hears of engines that are gone, and what they said
- * of themselves; nothing by default.
+ * @param options - The clock, the log, a callback for removed engines, and the notices
+ * of engines; no notices by default.
  * @returns The table.
  * @throws Nothing.
  * @example
- * const table = createEngineTable({ now, log, onGone });
+ * const table = createEngineTable({ now, log, onRemoved });
  */
 export function createEngineTable(
   options: {
     readonly now: () => number;
     readonly log: Logger;
     readonly onGone: (engineId: string) => void;
-    readonly notices?: NoticesInForce;
+    readonly notices?: TableNotices;
   },
 ): EngineTable {
   const { now, log, onGone, notices = NO_NOTICES } = options;
@@ -140,12 +149,12 @@
   const ended = new Set<string>();
   let suspects = new Set<string>();
   let crossingPrompts = 0;
-  // Part of what the leader tells of all gateways.
-  let toldLoads: EngineLoads = {};
-  let loadsTakenMs = -Infinity;
+  // This gateway's part of the total that the leader reports.
+  let reportedLoads: EngineLoads = {};
+  let loadsReceivedMs = -Infinity;
   let displaced: { readonly atMs: number; readonly requests: number }[] = [];
 
-  // Whoever sent requests to an engine that is lost sends them elsewhere.
+  // Gateways that had requests on a lost engine send them to others.
   function noteDisplaced({ otherRequests }: EngineView): void {
     if (otherRequests === 0) return;
     const fresh = displaced.filter(isFresh);
@@ -153,34 +162,34 @@
   }
 
   function isFresh({ atMs }: { readonly atMs: number }): boolean {
-    return now() - atMs < DISPLACED_AGE_MS;
+    return now() - atMs < DISPLACED_RETENTION_MS;
   }
 
-  function put(record: EngineRecord): void {
+  function upsert(record: EngineRecord): void {
     const known = engines.get(record.engineId);
     if (known) {
       known.record = record;
       return;
     }
-    // Where runs aren't told apart, it is there again.
+    // Where incarnations aren't told apart, the upstream has come back.
     ended.delete(record.engineId);
     engines.set(record.engineId, makeEngineView(record));
   }
 
-  function count(
+  function addLoad(
     path: readonly PathPart[],
     work: { tokens: number; requests: number },
   ): void {
     const [first] = path;
-    const begins = engines.get(first.engineId);
-    if (begins) begins.inFlight += work.requests;
+    const firstEngine = engines.get(first.engineId);
+    if (firstEngine) firstEngine.inFlight += work.requests;
     for (const { engineId } of path) {
       const engine = engines.get(engineId);
       if (engine) engine.tokensInFlight += work.tokens;
     }
   }
 
-  function crosses(path: readonly PathPart[]): boolean {
+  function crossesPlaces(path: readonly PathPart[]): boolean {
     const places = path.map(({ engineId }) =>
       engines.get(engineId)?.record.place
     );
@@ -207,25 +216,25 @@
     onGone(engineId);
   }
 
-  function leaveOut(engineId: string, reason: string): void {
+  function exclude(engineId: string, reason: string): void {
     const engine = engines.get(engineId);
     if (!engine || engine.suspectUntilMs > now()) return;
     noteDisplaced(engine);
     engine.suspicions += 1;
     const leftOutMs = Math.min(
       MAX_SUSPECT_MS,
-      SUSPECT_MS * 2 ** (engine.suspicions - 1),
+      MIN_SUSPECT_MS * 2 ** (engine.suspicions - 1),
     );
     engine.suspectUntilMs = now() + leftOutMs;
     log("engineSuspected", { engineId, reason, leftOutMs });
   }
 
-  // What an upstream said itself holds whatever the leader tells of that run.
+  // An upstream's own notice holds whatever the leader reports of that incarnation.
   function isLeaving({ record }: EngineView): boolean {
     return record.isLeaving || notices.isLeaving(record.engineId);
   }
 
-  function listSound(service: string): EngineView[] {
+  function listHealthy(service: string): EngineView[] {
     const nowMs = now();
     return [...engines.values()].filter((engine) =>
       engine.record.service === service && !isLeaving(engine) &&
@@ -241,31 +250,31 @@
       stillServing.forEach((engineId) => serving.add(engineId));
       forgetOldest(serving, MAX_REMEMBERED);
       gone.forEach(remove);
-      records.forEach(put);
+      records.forEach(upsert);
       if (!isWhole) return;
       const named = new Set(records.map(({ engineId }) => engineId));
       [...engines.keys()].filter((id) => !named.has(id)).forEach(remove);
     },
     takeLoads(loads) {
-      loadsTakenMs = now();
-      const others = subtractLoads(loads, toldLoads);
+      loadsReceivedMs = now();
+      const others = subtractLoads(loads, reportedLoads);
       for (const [engineId, engine] of engines) {
         engine.otherRequests = others[engineId]?.requests ?? 0;
         engine.otherTokens = others[engineId]?.tokens ?? 0;
-        engine.tokensThen = toldLoads[engineId]?.tokens ?? 0;
+        engine.tokensThen = reportedLoads[engineId]?.tokens ?? 0;
       }
     },
-    getLoadsAgeMs: () => now() - loadsTakenMs + LOADS_LAG_MS,
+    getLoadsAgeMs: () => now() - loadsReceivedMs + LOADS_LAG_MS,
     getDisplacedRequests: () =>
       displaced.filter(isFresh)
         .reduce((sum, { requests }) => sum + requests, 0),
     getLoads() {
-      toldLoads = sumOwnLoads();
-      return toldLoads;
+      reportedLoads = sumOwnLoads();
+      return reportedLoads;
     },
     listUsable: (service) =>
-      listSound(service).filter((engine) => !isBackedOff(engine)),
-    listBackedOff: (service) => listSound(service).filter(isBackedOff),
+      listHealthy(service).filter((engine) => !isBackedOff(engine)),
+    listBackedOff: (service) => listHealthy(service).filter(isBackedOff),
     isLeaving(engineId) {
       const engine = engines.get(engineId);
       return engine === undefined || isLeaving(engine);
@@ -281,12 +290,12 @@
       ended.add(engineId);
       forgetOldest(ended, MAX_REMEMBERED);
     },
-    addWork: (path, { tokens }) => count(path, { tokens, requests: 1 }),
+    addWork: (path, { tokens }) => addLoad(path, { tokens, requests: 1 }),
     removeWork: (path, { tokens }) =>
-      count(path, { tokens: -tokens, requests: -1 }),
+      addLoad(path, { tokens: -tokens, requests: -1 }),
     beginPrompt(path) {
       const engine = engines.get(path[0].engineId);
-      const crossing = crosses(path) ? 1 : 0;
+      const crossing = crossesPlaces(path) ? 1 : 0;
       if (engine) engine.unreadPrompts += 1;
       crossingPrompts += crossing;
       let isRead = false;
@@ -301,9 +310,9 @@
     suspect(engineId, reason) {
       if (!engines.has(engineId)) return;
       suspects.add(engineId);
-      leaveOut(engineId, reason);
+      exclude(engineId, reason);
     },
-    takeLost: (engineId) => leaveOut(engineId, "others found it lost"),
+    takeLost: (engineId) => exclude(engineId, "others found it lost"),
     noteFull(engineId) {
       const engine = engines.get(engineId);
       if (engine) engine.fullUntilMs = now() + FULL_MS;
--- a/src/gateway/create_engine_table_test.ts
+++ b/src/gateway/create_engine_table_test.ts
@@ -27,7 +27,7 @@
   return { table, clock, gone, engines, choose };
 }
 
-test("an upstream that fails gets less, and is tried again after a while", () => {
+test("an upstream that fails is avoided, and tried again after a while", () => {
   const { table, clock, choose } = makeTable();
   assert.is(choose(), "e1");
   for (let at = 0; at < 10; at++) table.noteAnswer("e1", { failed: true });
@@ -36,7 +36,7 @@
   assert.is(choose(), "e1");
 });
 
-test("a suspected upstream is left out, longer each time in a row", () => {
+test("a suspected upstream is excluded, for longer each time in a row", () => {
   const { table, clock } = makeTable();
   table.suspect("e1", "test");
   assert.is(table.listUsable("s").length, 1);
@@ -49,7 +49,7 @@
   assert.equal(table.takeSuspects(), []);
 });
 
-test("news keep what was seen; a whole list removes the others", () => {
+test("an update keeps the gateway's counts; a complete list removes other upstreams", () => {
   const { table, gone, engines } = makeTable();
   table.addWork([{ engineId: "e1", fromLayer: 0, toLayer: 0 }], { tokens: 9 });
   const [first] = engines;
@@ -61,7 +61,7 @@
   assert.equal(gone, ["e2"]);
 });
 
-test("one that left and still serves has not ended", () => {
+test("an upstream that left and still serves has not ended", () => {
   const { table } = makeTable();
   assert.not.ok(table.hasEnded("e1"));
   const gone = ["e1", "e2"];
@@ -72,10 +72,10 @@
   assert.equal(table.listUsable("s"), []);
 });
 
-test("one that rests is left out and listed apart, whatever is told of it", () => {
-  const resting = new Set(["e1"]);
+test("a backed-off upstream is listed separately, whatever the leader reports", () => {
+  const backedOff = new Set(["e1"]);
   const { table, engines } = makeTable({
-    isBackedOff: (engineId) => resting.has(engineId),
+    isBackedOff: (engineId) => backedOff.has(engineId),
     isLeaving: () => false,
     listLeaving: () => [],
   });
@@ -84,16 +84,16 @@
   table.take({ type: "engines", isWhole: true, engines, gone: [] });
   assert.equal(list(table.listUsable("s")), ["e2"]);
   assert.equal(list(table.listBackedOff("s")), ["e1"]);
-  // A rest is no loss: nobody is told of one.
+  // A back-off is no failure, so it isn't reported.
   assert.equal(table.takeSuspects(), []);
   table.take({ type: "engines", isWhole: false, engines: [], gone: ["e1"] });
   table.take({ type: "engines", isWhole: false, engines, gone: [] });
   assert.equal(list(table.listUsable("s")), ["e2"]);
-  resting.clear();
+  backedOff.clear();
   assert.equal(list(table.listUsable("s")), ["e1", "e2"]);
 });
 
-test("a leave that one told itself outlasts news, and is told until it is known", () => {
+test("an upstream's own leaving notice outlasts updates, and is reported until it is known", () => {
   const { table, engines } = makeTable({
     isBackedOff: () => false,
     isLeaving: (engineId) => engineId === "e1",
@@ -107,7 +107,7 @@
   const told = { ...first, isLeaving: true };
   table.take({ type: "engines", isWhole: false, engines: [told], gone: [] });
   assert.equal(table.listUntoldLeaves(), []);
-  // Gone and back: another leader that has not heard of it yet.
+  // Removed and listed again: a new leader that doesn't know of the notice yet.
   table.take({ type: "engines", isWhole: true, engines: [second], gone: [] });
   table.take({ type: "engines", isWhole: true, engines, gone: [] });
   assert.equal(table.listUntoldLeaves(), ["e1"]);
--- a/src/gateway/create_fleet_rates.ts
+++ b/src/gateway/create_fleet_rates.ts
@@ -1,17 +1,17 @@
 /**
- * How often the fleet's streams begin and end, and how many wait, as a gateway
- * knows it.
+ * Rates at which the fleet's streams start and end, and the number that wait, as a
+ * gateway knows them.
  *
  * @module
  */
 
 import type { FleetActivity, GatewayActivity } from "../fleet/index.ts";
 
-/** What the rates need. */
+/** Dependencies of the rates. */
 export interface CreateFleetRatesOptions {
-  /** Mean time, in ms, between two ends of this gateway's own streams. */
+  /** Mean interval, in ms, between the ends of this gateway's own streams. */
   readonly getOwnEndIntervalMs: () => number;
-  /** Gateways that take callers, this one included. */
+  /** Gateways that serve callers, including this one. */
   readonly getGatewayCount: () => number;
   /** Monotonic time, in ms. */
   readonly now: () => number;
@@ -21,25 +21,25 @@
 export interface FleetRates {
   noteAsked(service: string): void;
   noteEnded(service: string): void;
-  /** A stream waits for room until what is returned is called. */
+  /** Counts a stream that waits for capacity, until the function returned is called. */
   beginWait(service: string): () => void;
-  /** What happened here since the last call; the leader is told so. */
+  /** Takes this gateway's counts since the last call, for the report to the leader. */
   takeOwn(): GatewayActivity;
-  /** Takes the fleet's figures, as the leader tells them. */
+  /** Replaces the fleet's figures by those of a report from the leader. */
   take(activity: FleetActivity): void;
-  /** Mean time, in ms, between two ends of the fleet's streams. */
+  /** Mean interval, in ms, between the ends of the fleet's streams. */
   getEndIntervalMs(service: string): number;
   /** Streams that wait at other gateways. */
   getOthersWaiting(service: string): number;
-  /** Streams that the fleet is asked for in a second; undefined if unknown. */
+  /** Streams requested from the fleet per second; undefined if unknown. */
   getAskedPerS(service: string): number | undefined;
 }
 
 /**
- * Ms for which what the leader told counts: it tells twice a second, and a new
- * one only after a while.
+ * Ms for which a report counts: the leader reports twice a second, and a new leader
+ * only after a while.
  */
-const TOLD_AGE_MS = 4_000;
+const MAX_REPORT_AGE_MS = 4_000;
 
 interface OwnCounts {
   asked: number;
@@ -48,10 +48,10 @@
 }
 
 /**
- * Makes the rates. Until the leader has told any, what this gateway sees by
- * itself stands for its part of the fleet.
+ * Creates the rates. Until the leader has reported any, this gateway's own streams are
+ * taken as its even share of the fleet's.
  *
- * @param options - What is known without the leader.
+ * @param options - Values known without the leader.
  * @returns The rates.
  * @throws Nothing.
  * @example
@@ -60,9 +60,9 @@
 export function createFleetRates(options: CreateFleetRatesOptions): FleetRates {
   const { now } = options;
   const own = new Map<string, OwnCounts>();
-  const toldWaiting = new Map<string, number>();
-  let told: FleetActivity = {};
-  let toldMs = -Infinity;
+  const reportedWaiting = new Map<string, number>();
+  let lastReport: FleetActivity = {};
+  let receivedMs = -Infinity;
 
   function getOwn(service: string): OwnCounts {
     const known = own.get(service);
@@ -72,8 +72,10 @@
     return counts;
   }
 
-  function getTold(service: string): FleetActivity[string] | undefined {
-    return now() - toldMs < TOLD_AGE_MS ? told[service] : undefined;
+  function getFreshReport(service: string): FleetActivity[string] | undefined {
+    return now() - receivedMs < MAX_REPORT_AGE_MS
+      ? lastReport[service]
+      : undefined;
   }
 
   return {
@@ -97,7 +99,7 @@
         const taken = { ...counts };
         counts.asked = 0;
         counts.ended = 0;
-        toldWaiting.set(service, taken.waiting);
+        reportedWaiting.set(service, taken.waiting);
         return [service, taken] as const;
       });
       return Object.fromEntries(
@@ -107,18 +109,18 @@
       );
     },
     take(activity) {
-      told = activity;
-      toldMs = now();
+      lastReport = activity;
+      receivedMs = now();
     },
     getEndIntervalMs(service) {
-      const endedPerS = getTold(service)?.endedPerS ?? 0;
+      const endedPerS = getFreshReport(service)?.endedPerS ?? 0;
       if (endedPerS > 0) return 1_000 / endedPerS;
       return options.getOwnEndIntervalMs() / options.getGatewayCount();
     },
     getOthersWaiting(service) {
-      const waiting = getTold(service)?.waiting ?? 0;
-      return Math.max(0, waiting - (toldWaiting.get(service) ?? 0));
+      const waiting = getFreshReport(service)?.waiting ?? 0;
+      return Math.max(0, waiting - (reportedWaiting.get(service) ?? 0));
     },
-    getAskedPerS: (service) => getTold(service)?.askedPerS,
+    getAskedPerS: (service) => getFreshReport(service)?.askedPerS,
   };
 }
--- a/src/gateway/create_fleet_rates_test.ts
+++ b/src/gateway/create_fleet_rates_test.ts
@@ -1,6 +1,6 @@
 /**
- * What one gateway among 200 knows of the fleet's streams, and what it decides
- * by that.
+ * What one of 200 gateways knows of the fleet's streams, and which decisions follow
+ * from it.
  */
 
 import { test } from "uvu";
@@ -16,14 +16,14 @@
 const GATEWAYS = 200;
 const SERVICE = "model";
 
-/** Ms that callers bear to the first event. */
+/** Ms that callers accept until the first event. */
 const OBJECTIVE_MS = 600;
 
-/** Ms between two beats of a gateway. */
-const BEAT_MS = 350;
+/** Ms between two heartbeats of a gateway. */
+const HEARTBEAT_MS = 350;
 
-/** Ms between two pieces of the leader's news. */
-const NEWS_MS = 500;
+/** Ms between two reports of the leader. */
+const REPORT_MS = 500;
 
 const CALL = {
   service: SERVICE,
@@ -52,16 +52,16 @@
     rates.noteEnded(SERVICE);
   }
 
-  /** Lets a stream end each so many ms, at one gateway after the other. */
-  function play(spanMs: number, options: { endEveryMs: number }): void {
-    const untilMs = clock.nowMs + spanMs;
+  /** Ends one stream every `endEveryMs`, at one gateway after another. */
+  function advance(durationMs: number, options: { endEveryMs: number }): void {
+    const untilMs = clock.nowMs + durationMs;
     let ended = 0;
     for (; clock.nowMs < untilMs; clock.nowMs += 1) {
       if (clock.nowMs % options.endEveryMs === 0) endStream(ended++ * 7);
-      if (clock.nowMs % BEAT_MS === 0) {
+      if (clock.nowMs % HEARTBEAT_MS === 0) {
         gateways.forEach(({ vm, rates }) => tally.take(vm, rates.takeOwn()));
       }
-      if (clock.nowMs % NEWS_MS === 0) {
+      if (clock.nowMs % REPORT_MS === 0) {
         gateways.forEach(({ rates }) => rates.take(tally.get()));
       }
     }
@@ -73,12 +73,12 @@
     return createRoomWait(call, { getRoomQueue: queues, now });
   }
 
-  return { clock, gateways, play, wait };
+  return { clock, gateways, advance, wait };
 }
 
-test("a stream waits where the fleet ends one each 4 ms, though its gateway ends one a second", () => {
-  const { gateways, play, wait } = startFleet();
-  play(5_000, { endEveryMs: 4 });
+test("a stream waits where the fleet ends one every 4 ms, though its gateway ends one a second", () => {
+  const { gateways, advance, wait } = startFleet();
+  advance(5_000, { endEveryMs: 4 });
   const [{ endRate, rates }] = gateways;
   assert.ok(endRate.getIntervalMs() > OBJECTIVE_MS);
   assert.ok(Math.abs(rates.getEndIntervalMs(SERVICE) - 4) < 0.7);
@@ -87,28 +87,28 @@
   assert.is(waiting.length, GATEWAYS);
 });
 
-test("nobody waits behind more than end in the time that callers bear", () => {
-  const { gateways, play, wait } = startFleet();
-  play(5_000, { endEveryMs: 4 });
+test("no stream waits behind more others than end within the time that callers accept", () => {
+  const { gateways, advance, wait } = startFleet();
+  advance(5_000, { endEveryMs: 4 });
   const waits = gateways.map((_, at) => wait(at));
   assert.ok(waits.every((one) => one.mayWait()));
-  play(1_000, { endEveryMs: 4 });
-  // 200 wait: at one each 4 ms the last of them expects 800 ms.
+  advance(1_000, { endEveryMs: 4 });
+  // With 200 waiting and one end every 4 ms, the last of them expects to wait 800 ms.
   assert.not(wait(0).mayWait());
   waits.slice(0, 150).forEach((one) => one.end());
-  play(1_000, { endEveryMs: 4 });
+  advance(1_000, { endEveryMs: 4 });
   assert.ok(wait(0).mayWait());
 });
 
-test("nobody waits where the fleet ends few streams", () => {
-  const { play, wait } = startFleet();
-  play(5_000, { endEveryMs: 1_000 });
+test("no stream waits where the fleet ends few", () => {
+  const { advance, wait } = startFleet();
+  advance(5_000, { endEveryMs: 1_000 });
   assert.not(wait(3).mayWait());
 });
 
-test("all gateways together send callers back at half the rate of ends", () => {
-  const { clock, gateways, play } = startFleet();
-  play(5_000, { endEveryMs: 4 });
+test("all gateways together schedule retries at half the rate of stream ends", () => {
+  const { clock, gateways, advance } = startFleet();
+  advance(5_000, { endEveryMs: 4 });
   const returnsMs = gateways.flatMap(({ rates }) => {
     const schedule = createReturnSchedule({
       getEndIntervalMs: rates.getEndIntervalMs,
@@ -119,13 +119,13 @@
     const [first, second] = [0, 1].map(() => schedule.getWaitMs(SERVICE));
     return [second - first];
   });
-  // Each of 200 gateways 1.6 s apart: 125 a second of 250.
+  // Each of 200 gateways lets one return every 1.6 s: 125 a second, of 250 ends.
   assert.ok(returnsMs.every((ms) => Math.abs(ms - 1_600) < 300));
 });
 
-test("without news a gateway takes itself for its part of the fleet", () => {
-  const { clock, gateways, play } = startFleet();
-  play(5_000, { endEveryMs: 4 });
+test("without reports a gateway extrapolates from its own streams", () => {
+  const { clock, gateways, advance } = startFleet();
+  advance(5_000, { endEveryMs: 4 });
   const [{ rates, endRate }] = gateways;
   clock.nowMs += 10_000;
   assert.is(
--- a/src/gateway/create_loss_news.ts
+++ b/src/gateway/create_loss_news.ts
@@ -1,6 +1,6 @@
 /**
- * What this gateway's questions found lost, for the others of its data centre, and
- * its place among those that ask.
+ * Engines that this gateway's probes found lost, for the report to the other gateways
+ * of its data centre, and the gateway's rank among those that probe an engine.
  *
  * @module
  */
@@ -8,34 +8,34 @@
 import type { GatewayRecord } from "../fleet/index.ts";
 import { rankByRendezvous } from "../routing/index.ts";
 
-/** What the news needs. */
+/** Dependencies of the reports. */
 export interface CreateLossNewsOptions {
   readonly vm: string;
   readonly place: string;
-  /** Gateways that take callers. */
+  /** Gateways that serve callers. */
   readonly listReady: () => readonly GatewayRecord[];
 }
 
-/** What this gateway's questions found lost. */
+/** Engines that this gateway's probes found lost. */
 export interface LossNews {
   note(engineId: string): void;
-  /** Engines found lost since the last call; the leader is told so. */
+  /** Takes the engines found lost since the last call, for the report to the leader. */
   take(): readonly string[];
   /**
-   * This gateway's place in the order in which those of its data centre ask after
-   * an engine: each engine has an order of its own.
+   * Rank of this gateway in the order in which the gateways of its data centre probe an
+   * engine. The order differs between engines, which spreads the probes over gateways.
    */
   getAskerRank(engineId: string): number;
 }
 
 /**
- * Makes the news, empty.
+ * Creates an empty list of reports.
  *
- * @param options - This gateway, and who else there is.
- * @returns The news.
+ * @param options - This gateway, and the others.
+ * @returns The reports.
  * @throws Nothing.
  * @example
- * const losses = createLossNews({ vm, place, listReady });
+ * const losses = createLostEngineReports({ vm, place, listReady });
  */
 export function createLossNews(options: CreateLossNewsOptions): LossNews {
   const { vm, place, listReady } = options;
--- a/src/gateway/create_loss_news_test.ts
+++ b/src/gateway/create_loss_news_test.ts
@@ -9,12 +9,12 @@
   isReady: true,
 }));
 
-function startNews(vm: string, place: string) {
+function startReports(vm: string, place: string) {
   return createLossNews({ vm, place, listReady: () => GATEWAYS });
 }
 
-test("for each engine the gateways of a data centre ask in an order of its own", () => {
-  const news = GATEWAYS.slice(0, 20).map(({ vm }) => startNews(vm, "a"));
+test("the order in which the gateways of a data centre probe differs between engines", () => {
+  const news = GATEWAYS.slice(0, 20).map(({ vm }) => startReports(vm, "a"));
   const engineIds = Array.from({ length: 200 }, (_, at) => `e${at}`);
   for (const engineId of engineIds) {
     const ranks = news.map((one) => one.getAskerRank(engineId));
@@ -26,16 +26,16 @@
   assert.ok(Math.max(...firsts) < 25, `${firsts}`);
 });
 
-test("what was found lost is told once", () => {
-  const news = startNews("g0", "a");
+test("a lost engine is reported once", () => {
+  const news = startReports("g0", "a");
   news.note("e1");
   news.note("e1");
   assert.equal(news.take(), ["e1"]);
   assert.equal(news.take(), []);
 });
 
-test("a gateway that isn't known yet asks with the first", () => {
-  assert.is(startNews("new", "a").getAskerRank("e1"), 0);
+test("a gateway that isn't registered yet probes with the first", () => {
+  assert.is(startReports("new", "a").getAskerRank("e1"), 0);
 });
 
 test.run();
--- a/src/gateway/create_usual_times.ts
+++ b/src/gateway/create_usual_times.ts
@@ -1,13 +1,13 @@
 /**
- * How long the answers of services usually take.
+ * Mean times that the answers of services take.
  *
  * @module
  */
 
-/** How long the answers of services usually take. */
+/** Mean times that the answers of services take. */
 export interface UsualTimes {
   noteAnswer(service: string, answer: { readonly tookMs: number }): void;
-  /** Smoothed time of an answer, in ms; undefined before the first. */
+  /** Smoothed time of an answer, in ms; undefined before the first one. */
   getMs(service: string): number | undefined;
 }
 
@@ -15,12 +15,12 @@
 const ANSWER_WEIGHT = 0.1;
 
 /**
- * Makes the times, empty.
+ * Creates empty response times.
  *
  * @returns The times.
  * @throws Nothing.
  * @example
- * const usualTimes = createUsualTimes();
+ * const responseTimes = createResponseTimes();
  */
 export function createUsualTimes(): UsualTimes {
   const timesMs = new Map<string, number>();
--- a/src/gateway/decide_call.ts
+++ b/src/gateway/decide_call.ts
@@ -1,5 +1,5 @@
 /**
- * Decides whether a request is let in, and where it belongs.
+ * Decides whether a request is admitted, and to which service it goes.
  *
  * @module
  */
@@ -9,21 +9,21 @@
 import type { CallerRequest, Refusal } from "./protocol.ts";
 import type { Call } from "./types.ts";
 
-/** What the decision goes by. */
+/** What the decision depends on. */
 export interface DecideCallOptions {
-  /** The configuration in force; undefined before the first. */
+  /** The current configuration; undefined until the first one arrives. */
   readonly table: RouteTable | undefined;
-  /** Whether the leader has told which upstreams there are. */
+  /** Whether the leader has sent the list of upstreams. */
   readonly knowsEngines: boolean;
-  /** Whether the lease on the configuration runs. */
+  /** Whether the lease on the configuration is valid. */
   readonly isTrusted: boolean;
-  /** Whether no new request is let in, since the process stops. */
+  /** Whether the process is stopping and admits no new requests. */
   readonly isLastCall: boolean;
   /** A number in [0, 1). */
   readonly random: number;
 }
 
-/** What was decided. */
+/** The decision. */
 export type CallDecision =
   | {
     readonly type: "serve";
@@ -31,16 +31,16 @@
   }
   | { readonly type: "refuse"; readonly refusal: Refusal };
 
-/** Ms after which a caller may come again where this gateway can't serve. */
+/** Retry-after, in ms, of a request that this gateway can't serve at present. */
 const NOT_READY_RETRY_MS = 300;
 
 /**
- * Decides about a request. A gateway whose lease has run out says neither that
- * a route nor that a key does not exist: it can't know.
+ * Decides about a request. A gateway whose lease has expired doesn't answer that a
+ * route or a key is unknown: its configuration may be out of date.
  *
  * @param request - The request.
- * @param options - The configuration and how far it may be trusted.
- * @returns Where the request belongs, or the refusal.
+ * @param options - The configuration and whether its lease is valid.
+ * @returns The route, account and service of the request, or the refusal.
  * @throws Nothing.
  * @example
  * const decision = decideCall(request, options);
@@ -50,11 +50,13 @@
   options: DecideCallOptions,
 ): CallDecision {
   const { table, isTrusted } = options;
-  if (options.isLastCall) return refuseForNow("leaving");
-  if (!table || !options.knowsEngines) return refuseForNow("no_config");
+  if (options.isLastCall) return refuseTemporarily("leaving");
+  if (!table || !options.knowsEngines) return refuseTemporarily("no_config");
   const route = table.findRoute(request.host, request.path);
   if (!route) {
-    return isTrusted ? refuse(404, "not_found") : refuseForNow("stale_config");
+    return isTrusted
+      ? refuse(404, "not_found")
+      : refuseTemporarily("stale_config");
   }
   const service = chooseTarget(route, options.random);
   const account = request.key === undefined
@@ -62,7 +64,7 @@
     : table.findAccount(request.key);
   const call = { route, account, service };
   if (!table.needsKeys || route.isAnonymous) return { type: "serve", call };
-  if (!isTrusted) return refuseForNow("stale_config");
+  if (!isTrusted) return refuseTemporarily("stale_config");
   if (!account) return refuse(401, "unknown_key");
   return { type: "serve", call };
 }
@@ -71,7 +73,7 @@
   return { type: "refuse", refusal: { status, reason } };
 }
 
-function refuseForNow(reason: RefusalReason): CallDecision {
+function refuseTemporarily(reason: RefusalReason): CallDecision {
   const retryAfterMs = NOT_READY_RETRY_MS;
   return { type: "refuse", refusal: { status: 503, reason, retryAfterMs } };
 }
--- a/src/gateway/decide_call_test.ts
+++ b/src/gateway/decide_call_test.ts
@@ -51,7 +51,7 @@
   assert.is(decide({ path: "/none/1", key: "k" }), "404 not_found");
 });
 
-test("without a lease nothing is said to be missing, and no key is trusted", () => {
+test("without a lease no route or key is reported as unknown, and no key is accepted", () => {
   const stale = { isTrusted: false };
   assert.is(decide({ key: "k" }, stale), "503 stale_config");
   assert.is(decide({ key: "other" }, stale), "503 stale_config");
@@ -59,7 +59,7 @@
   assert.is(decide({ path: "/open/1" }, stale), "serve anybody");
 });
 
-test("before the first configuration and at the last call all are refused", () => {
+test("all requests are refused before the first configuration and while draining", () => {
   assert.is(decide({ key: "k" }, { table: undefined }), "503 no_config");
   assert.is(decide({ key: "k" }, { knowsEngines: false }), "503 no_config");
   assert.is(decide({ key: "k" }, { isLastCall: true }), "503 leaving");
--- a/src/gateway/engine_view.ts
+++ b/src/gateway/engine_view.ts
@@ -6,46 +6,46 @@
 
 import type { EngineRecord } from "../engines/index.ts";
 
-/** An upstream with what this gateway saw of it. */
+/** An upstream with this gateway's observations. */
 export interface EngineView {
-  /** Newest record; the view itself stays the same while it changes. */
+  /** Newest record; it is replaced while the view itself stays the same object. */
   record: EngineRecord;
-  /** Requests of this gateway that begin there. */
+  /** Requests of this gateway that start on it. */
   inFlight: number;
-  /** Those of them whose prompt is being read: they have given no event. */
+  /** Those of them whose prompt is being read: they have returned no event yet. */
   unreadPrompts: number;
   /** Tokens of this gateway's requests on it. */
   tokensInFlight: number;
-  /** Requests of the other gateways that begin there, as the leader told. */
+  /** Requests of the other gateways that start on it, as the leader reported. */
   otherRequests: number;
   /** Tokens of the other gateways' requests on it. */
   otherTokens: number;
-  /** Own tokens on it, when the others' were last told. */
+  /** This gateway's tokens on it at the last report of the others'. */
   tokensThen: number;
-  /** Newest load that it told, over its slots. */
+  /** Newest load that it reported, over its slots. */
   toldLoad: number;
-  /** Until when it is left out, in ms. */
+  /** Time, in ms, until which it is excluded as suspected. */
   suspectUntilMs: number;
-  /** Until when it counts as full, in ms. */
+  /** Time, in ms, until which it counts as full. */
   fullUntilMs: number;
   /** How often in a row it was suspected. */
   suspicions: number;
-  /** Share of its answers that failed, smoothed, when one was last noted. */
+  /** Smoothed share of its answers that failed, at the time of the last answer. */
   failureShare: number;
-  /** When an answer was last noted, in ms. */
+  /** Time, in ms, of the last answer. */
   answeredMs: number;
-  /** How slow it told this gateway that it is, as a factor on its times. */
+  /** Slowness that it reported to this gateway, as a factor on its usual times. */
   toldPace: number;
-  /** When it told so, in ms. */
+  /** Time, in ms, of that report. */
   toldPaceMs: number;
 }
 
-/** Ms in which half of what speaks against an upstream is forgotten. */
+/** Half-life, in ms, of recorded failures. */
 const FAILURE_HALF_LIFE_MS = 3_000;
 
 /**
- * Tells how far an upstream's newest answers failed. It fades with time, so
- * that one that is not asked any more is tried again.
+ * Gets the share of an upstream's recent answers that failed. It decays with time, so
+ * that an upstream that is no longer used is tried again.
  *
  * @param view - The upstream.
  * @param nowMs - Monotonic time, in ms.
@@ -63,14 +63,14 @@
 }
 
 /**
- * Ms for which an engine's own word on its pace counts here: as long as the
- * leader, who asks it too, takes to tell all.
+ * Ms for which an engine's own report of its slowness counts: the time that the leader,
+ * which asks it too, takes to report to all gateways.
  */
-const PACE_AGE_MS = 2_000;
+const MAX_SLOWNESS_AGE_MS = 2_000;
 
 /**
- * Tells how slow an upstream is: by what the leader told, or by its own word
- * to this gateway where that is newer and worse.
+ * Gets how slow an upstream is: as the leader reported, or as it reported to this
+ * gateway where that is newer and slower.
  *
  * @param view - The upstream.
  * @param nowMs - Monotonic time, in ms.
@@ -83,14 +83,14 @@
   view: Pick<EngineView, "record" | "toldPace" | "toldPaceMs">,
   nowMs: number,
 ): number {
-  const isFresh = nowMs - view.toldPaceMs < PACE_AGE_MS;
+  const isFresh = nowMs - view.toldPaceMs < MAX_SLOWNESS_AGE_MS;
   return Math.max(view.record.slowness ?? 1, isFresh ? view.toldPace : 1);
 }
 
 /**
- * Makes the view of an upstream of which this gateway has seen nothing yet.
+ * Creates the view of an upstream that this gateway hasn't used yet.
  *
- * @param record - What the leader told.
+ * @param record - The record from the leader.
  * @returns The view.
  * @throws Nothing.
  * @example
--- a/src/gateway/expect_others.ts
+++ b/src/gateway/expect_others.ts
@@ -1,15 +1,15 @@
 /**
- * What other gateways are expected to have begun and ended since the leader told
- * of their work.
+ * Estimates the work that other gateways have started and finished since the leader's
+ * last load report.
  *
- * All gateways go by the same figures, half a second old on average, and by the
- * same rule. Where each goes to the engine that has the least by those figures,
- * all go there until the next ones come. So each first plays through what the
- * others do by the same rule: M. Dahlin, "Interpreting stale load information",
- * IEEE TPDS 11(10), 2000. With 200 gateways before 216 engines, engines refuse
- * 0.34 times a stream at 300 streams a second and 0.68 at 380 where gateways go by
- * what was told, and 0.00 at both where they don't; of all streams 0.020 and 0.055
- * never begin, and then none (`npm run measure -- choice`).
+ * All gateways use the same figures, half a second old on average, and the same rule.
+ * If each sent to the engine with the least reported load, all would send to the same
+ * one until the next report. So each gateway first simulates what the others do by the
+ * same rule: M. Dahlin, "Interpreting stale load information", IEEE TPDS 11(10), 2000.
+ * With 200 gateways and 216 engines, engines refuse 0.34 times per stream at 300
+ * streams a second and 0.68 at 380 where gateways use the reported loads alone, and
+ * 0.00 at both with the estimate; 0.020 and 0.055 of all streams never start without
+ * it, and none with it (`npm run measure -- choice`).
  *
  * @module
  */
@@ -17,58 +17,58 @@
 import type { EngineLoads } from "../fleet/index.ts";
 import type { PathPart } from "../layers/index.ts";
 
-/** Work that others are expected to have, beside what was told. */
+/** Estimated change of other gateways' work since the last report. */
 export interface ExpectedWork {
-  /** Share of the told work that has ended since. */
+  /** Share of the reported work that has ended since. */
   readonly endedShare: number;
-  /** Work that has begun since. */
+  /** Work that has started since. */
   readonly begun: EngineLoads;
 }
 
-/** What the expectation goes by. */
+/** What the estimate depends on. */
 export interface ExpectOthersOptions {
-  /** Requests that others have begun since they were last counted. */
+  /** Requests that other gateways have started since the last report. */
   readonly begunRequests: number;
-  /** Share of the requests counted then that have ended since. */
+  /** Share of the reported requests that have ended since. */
   readonly endedShare: number;
   /** Tokens that a request usually takes. */
   readonly usualTokens: number;
-  /** Where another gateway's request goes, with what others have then. */
+  /** Chooses the path of another gateway's request, given the work estimated so far. */
   readonly choose: (expected: ExpectedWork) => readonly PathPart[] | undefined;
   /** A number in [0, 1). */
   readonly random: () => number;
 }
 
 /**
- * Choices that are played through at most: each stands for a part of the others'
- * requests and costs a search for a path. In trials of 300 streams a second,
- * engines refused 38 of 2,400 streams with three of them and none with six.
+ * Choices that are simulated at most: each stands for a part of the other gateways'
+ * requests and costs a path search. In trials of 300 streams a second, engines refused
+ * 38 of 2,400 streams with three choices and none with six.
  */
-const MAX_CHOICES = 4;
+const MAX_SIMULATED_CHOICES = 4;
 
 /**
- * Plays through where the others' requests have gone. How many of them went
- * before is drawn at random, so that gateways spread as the requests really do.
+ * Simulates where the other gateways' requests have gone. How many of them went before
+ * this one is drawn at random, so that gateways spread as the requests actually do.
  *
- * @param options - How many requests there are, and how they choose.
- * @returns The work to reckon with.
+ * @param options - The number of requests, and how their paths are chosen.
+ * @returns The estimated work.
  * @throws Nothing.
  * @example
- * const expected = expectOthers(options);
+ * const expected = estimateOtherWork(options);
  */
 export function expectOthers(options: ExpectOthersOptions): ExpectedWork {
   const { begunRequests, endedShare, usualTokens, choose, random } = options;
-  const before = random() * begunRequests;
-  const share = before / begunRequests;
+  const earlierRequests = random() * begunRequests;
+  const share = earlierRequests / begunRequests;
   const choices = Math.min(
-    Math.ceil(before),
-    Math.max(1, Math.round(MAX_CHOICES * share)),
+    Math.ceil(earlierRequests),
+    Math.max(1, Math.round(MAX_SIMULATED_CHOICES * share)),
   );
   const begun: Record<string, { tokens: number; requests: number }> = {};
   for (let choice = 0; choice < choices; choice++) {
     const path = choose({ endedShare, begun });
     if (!path) break;
-    const requests = before / choices;
+    const requests = earlierRequests / choices;
     for (const { engineId } of path) {
       const work = begun[engineId] ??= { tokens: 0, requests: 0 };
       work.tokens += requests * usualTokens;
--- a/src/gateway/expect_others_test.ts
+++ b/src/gateway/expect_others_test.ts
@@ -5,9 +5,12 @@
 
 const LOAD = { gateways: 200, spanMs: 8_000, seed: 7 };
 
-test("at 300 streams a second engines refuse none of them; 0.3 a stream where each gateway goes by what was told", () => {
+test("at 300 streams a second engines refuse almost none; 0.3 per stream where gateways use reported loads alone", () => {
   const told = playChoices({ ...LOAD, askedPerS: 300, expectsOthers: false });
-  assert.ok(told.refusals > 0.2 * told.asked, `${told.refusals} as told`);
+  assert.ok(
+    told.refusals > 0.2 * told.asked,
+    `${told.refusals} with reported loads alone`,
+  );
   const { asked, begun, refusals } = playChoices({
     ...LOAD,
     askedPerS: 300,
@@ -17,9 +20,12 @@
   assert.is(begun, asked);
 });
 
-test("at 380 a second nearly all begin; one in twenty doesn't by what was told", () => {
+test("at 380 a second nearly all start; one in twenty doesn't with reported loads alone", () => {
   const told = playChoices({ ...LOAD, askedPerS: 380, expectsOthers: false });
-  assert.ok(told.begun < 0.96 * told.asked, `${told.begun} as told`);
+  assert.ok(
+    told.begun < 0.96 * told.asked,
+    `${told.begun} with reported loads alone`,
+  );
   const { asked, begun } = playChoices({
     ...LOAD,
     askedPerS: 380,
@@ -28,7 +34,7 @@
   assert.ok(begun > 0.98 * asked, `${begun} of ${asked}`);
 });
 
-test("the others' requests go where each of them would go, one after the other", () => {
+test("other gateways' requests are simulated one after another by the same rule", () => {
   const expected = expectOthers({
     begunRequests: 40,
     endedShare: 0.25,
@@ -49,7 +55,7 @@
   });
 });
 
-test("where nobody went before, nothing is expected", () => {
+test("where no request went before, no work is estimated", () => {
   const { begun } = expectOthers({
     begunRequests: 40,
     endedShare: 0,
--- a/src/gateway/get_request_key.ts
+++ b/src/gateway/get_request_key.ts
@@ -1,5 +1,5 @@
 /**
- * Tells requests apart by what they ask, not by the ids of their tries.
+ * Identifies requests by their content rather than by the ids of their attempts.
  *
  * @module
  */
@@ -7,26 +7,26 @@
 import type { Buffer } from "node:buffer";
 import { createHash } from "node:crypto";
 
-/** What makes two tries the same request. */
+/** The content that two attempts of the same request share. */
 export interface RequestContent {
   readonly method: string;
   readonly host: string;
-  /** Path and query as they came. */
+  /** Path and query as received. */
   readonly target: string;
-  /** Client account; undefined where the route asks for none. */
+  /** Client account; undefined where the route doesn't require one. */
   readonly account: string | undefined;
   readonly body: Buffer | null;
 }
 
-/** Characters of a key: 96 bits, so that no two requests of a fleet share one. */
+/** Characters of a key: 96 bits make a collision within a fleet negligible. */
 const KEY_CHARS = 16;
 
 /**
- * Gets the key of a request. All tries of one request have the same, at whichever
- * gateway and under whatever id they come.
+ * Gets the key of a request. All attempts of one request have the same key, whichever
+ * gateway and id they arrive with.
  *
- * @param content - What the request asks.
- * @returns The key, in letters that need no escape.
+ * @param content - The content of the request.
+ * @returns The key, in characters that need no escaping.
  * @throws Nothing.
  * @example
  * const key = getRequestKey({ method, host, target, account, body });
@@ -34,7 +34,7 @@
 export function getRequestKey(content: RequestContent): string {
   const { method, host, target, account = "", body } = content;
   const hash = createHash("sha256");
-  // Lengths keep fields apart, whatever they hold.
+  // JSON quoting keeps the fields distinct whatever they contain.
   hash.update(JSON.stringify([method, host, target, account]));
   if (body) hash.update(body);
   return hash.digest("base64url").slice(0, KEY_CHARS);
--- a/src/gateway/get_request_key_test.ts
+++ b/src/gateway/get_request_key_test.ts
@@ -11,7 +11,7 @@
   body: Buffer.from("hello"),
 };
 
-test("tries of one request share a key, each other field changes it", () => {
+test("attempts of one request share a key, a change of any field changes it", () => {
   const key = getRequestKey(CONTENT);
   assert.is(getRequestKey({ ...CONTENT, body: Buffer.from("hello") }), key);
   const others: Partial<RequestContent>[] = [
--- a/src/gateway/group_runs.ts
+++ b/src/gateway/group_runs.ts
@@ -1,59 +1,61 @@
 /**
- * Groups the streams that fall silent together.
+ * Groups streams that stall at the same time.
  *
  * @module
  */
 
-/** What the search needs to know of a run. */
+/** What the grouping needs to know of a run. */
 export interface RunSilence {
-  /** Engine at which its path begins. */
+  /** Engine at which its path starts. */
   readonly firstEngineId: string;
-  /** Whether it has given an event. */
+  /** Whether it has returned an event. */
   readonly hasBegun: boolean;
   /** Ms since its newest event, or since it was sent. */
   readonly silenceMs: number;
-  /** Its usual pause between events, in ms; 0 before it had any. */
+  /** Its usual interval between events, in ms; 0 before there was one. */
   readonly usualPauseMs: number;
 }
 
-/** Runs that begin at one engine. */
+/** Runs that start at one engine. */
 export interface RunGroup<R extends RunSilence> {
   readonly firstEngineId: string;
   readonly runs: readonly R[];
   /** Ms since the newest event of any of them. */
   readonly silenceMs: number;
-  /** Silence, in ms, from which on their engines are asked. */
+  /** Silence, in ms, from which on their engines are probed. */
   readonly limitMs: number;
 }
 
 /**
- * Ms of silence of several streams at once. In their batch each gets an event
- * every 50 ms at another moment: on a quiet day (measured) one of two alone is
- * rarely silent for so long, both are only while a long prompt is read.
+ * Silence, in ms, from which on several streams at once count as stalled. In their
+ * batch each gets an event every 50 ms, at a different moment: without faults a single
+ * one of two is rarely silent for so long, and both are only while a long prompt is
+ * being read.
  */
 export const SHARED_SILENCE_MS = 60;
 
 /**
- * Ms of silence of a single stream: its longest pause on a quiet day was 112
- * ms (measured).
+ * Silence, in ms, from which on a single stream counts as stalled: without faults the
+ * longest interval was 112 ms.
  */
 export const SINGLE_SILENCE_MS = 115;
 
 /**
- * Usual pauses of which a silence shared by several streams is more. Against the
- * fixed limits alone there are fewer questions to engines on days with trouble:
- * 38,800 on five days before, 23,500 after, at the same share of streams in time.
+ * Multiple of the usual interval that a silence shared by several streams has to
+ * exceed. Compared with the fixed limits alone, engines are probed less often on days
+ * with faults: 23,500 instead of 38,800 probes in five days, at the same share of
+ * streams in time.
  */
-const SHARED_PAUSES = 1.5;
+const SHARED_INTERVAL_FACTOR = 1.5;
 
-/** Usual pauses of which the silence of a single stream is more. */
-const SINGLE_PAUSES = 2.5;
+/** Multiple of the usual interval that the silence of a single stream has to exceed. */
+const SINGLE_INTERVAL_FACTOR = 2.5;
 
 /**
- * Groups runs by the engine at which they begin: those of one group mostly
- * share all engines, so where one engine is lost all of them fall silent.
+ * Groups runs by the engine at which they start. Runs of one group mostly share all
+ * their engines, so all of them stall where one engine is lost.
  *
- * @param runs - The runs under way.
+ * @param runs - The active runs.
  * @returns The groups, with their silence and its limit.
  * @throws Nothing.
  * @example
@@ -75,13 +77,13 @@
   }));
 }
 
-// Where engines are busy all pauses are longer, and silence says less.
+// Under load all intervals are longer, so a silence is weaker evidence of a loss.
 function getLimitMs(members: readonly RunSilence[]): number {
   const begun = members.filter((run) => run.hasBegun);
-  const pausesMs = begun.map((run) => run.usualPauseMs);
-  const usualMs = pausesMs.reduce((sum, one) => sum + one, 0) /
+  const intervalsMs = begun.map((run) => run.usualPauseMs);
+  const usualMs = intervalsMs.reduce((sum, one) => sum + one, 0) /
     Math.max(1, begun.length);
   return begun.length > 1
-    ? Math.max(SHARED_SILENCE_MS, SHARED_PAUSES * usualMs)
-    : Math.max(SINGLE_SILENCE_MS, SINGLE_PAUSES * usualMs);
+    ? Math.max(SHARED_SILENCE_MS, SHARED_INTERVAL_FACTOR * usualMs)
+    : Math.max(SINGLE_SILENCE_MS, SINGLE_INTERVAL_FACTOR * usualMs);
 }
--- a/src/gateway/list_sendable.ts
+++ b/src/gateway/list_sendable.ts
@@ -8,15 +8,15 @@
 import type { Call, ServingContext } from "./types.ts";
 
 /**
- * Lists the upstreams of a call's service that take new work and have a send left
- * under their rate limits, as far as this gateway knows.
+ * Lists the upstreams of a call's service that accept new work and whose rate limits
+ * allow another request, as far as this gateway knows.
  *
  * @param call - The call.
  * @param context - The upstreams and their limits.
  * @returns The upstreams.
  * @throws Nothing.
  * @example
- * const engine = chooseEngine(listSendable(call, context), options);
+ * const engine = chooseEngine(listSendableEngines(call, context), options);
  */
 export function listSendable(
   { service }: Pick<Call, "service">,
--- a/src/gateway/read_body.ts
+++ b/src/gateway/read_body.ts
@@ -1,5 +1,5 @@
 /**
- * Reads a caller's body whole, within limits.
+ * Reads the complete body of a request, within a size limit.
  *
  * @module
  */
@@ -14,10 +14,10 @@
   | { readonly type: "cut" };
 
 /**
- * Reads a body; what follows the limit is read and thrown away.
+ * Reads a body; bytes beyond the limit are read and discarded.
  *
  * @param message - The caller's request.
- * @param options - Bytes allowed.
+ * @param options - Maximum size in bytes.
  * @returns The body, null where it is empty.
  * @throws Nothing.
  * @example
