--- a/src/gateway/choose_call_path.ts
+++ b/src/gateway/choose_call_path.ts
@@ -80,18 +80,18 @@
     return findLimitWait(call, context) ?? findBackOffWait(call, context);
   }
   const usable = engines.listUsable(call.service);
-  const begunRequests = estimateStartedRequests(call, context);
+  const startedRequests = estimateStartedRequests(call, context);
   const pathOptions = {
     model,
     place,
     gatewayCount: context.getGatewayCount(),
-    maxUnreportedRequests: begunRequests,
+    maxUnreportedRequests: startedRequests,
     hasIdleConnection: context.exchanger.hasIdleConnection,
-    expected: estimateWork(usable, { call, context, model, begunRequests }),
-    drawRandomCost: begunRequests === Infinity ? context.random : undefined,
+    expected: estimateWork(usable, { call, context, model, startedRequests }),
+    drawRandomCost: startedRequests === Infinity ? context.random : undefined,
     excluded,
     canStartAt: rateLimits.hasSendLeft,
-    mayCrossPlaces: engines.getCrossingPrompts() < MAX_CROSS_PLACE_PROMPTS,
+    mayCrossPlaces: engines.getCrossPlacePrompts() < MAX_CROSS_PLACE_PROMPTS,
     nowMs: now(),
   };
   const path = choosePath(usable, { ...pathOptions, need });
@@ -154,12 +154,12 @@
     readonly call: Call;
     readonly context: ServingContext;
     readonly model: LayeredModel;
-    readonly begunRequests: number;
+    readonly startedRequests: number;
   },
 ): ExpectedWork | undefined {
-  const { call, context, model, begunRequests } = options;
+  const { call, context, model, startedRequests } = options;
   const { rates, random } = context;
-  if (begunRequests === Infinity || begunRequests < 1) return undefined;
+  if (startedRequests === Infinity || startedRequests < 1) return undefined;
   const reportedRequests = usable.reduce(
     (sum, one) => sum + one.otherRequests,
     0,
@@ -169,7 +169,7 @@
   const usualTokens = getUsualTokens(model);
   const places = context.listGatewayPlaces();
   return expectOthers({
-    begunRequests,
+    begunRequests: startedRequests,
     endedShare: Math.min(1, ended / Math.max(1, reportedRequests)),
     usualTokens,
     choose: (expected) =>
--- a/src/gateway/choose_engine.ts
+++ b/src/gateway/choose_engine.ts
@@ -68,14 +68,16 @@
   options: ChooseEngineOptions,
   meanOthers: number,
 ): number {
-  const { record, inFlight, otherRequests, toldLoad } = engine;
-  const { keptShare = 1 } = options;
+  const { record, inFlight, otherRequests, toldLoad: reportedLoad } = engine;
+  const { keptShare: runningShare = 1 } = options;
   const failureShare = getFailureShare(engine, options.nowMs);
   // Requests that have ended were replaced by others, at any of the upstreams.
-  const runningOthers = meanOthers + keptShare * (otherRequests - meanOthers);
+  const runningOthers = meanOthers +
+    runningShare * (otherRequests - meanOthers);
   const knownLoad = (inFlight + runningOthers) / Math.max(1, record.slots);
   const distance = record.place === options.place ? 0 : OTHER_PLACE_LOAD;
-  return Math.max(knownLoad, toldLoad) + failureShare * FAILURE_LOAD + distance;
+  return Math.max(knownLoad, reportedLoad) + failureShare * FAILURE_LOAD +
+    distance;
 }
 
 /**
--- a/src/gateway/choose_path.ts
+++ b/src/gateway/choose_path.ts
@@ -249,7 +249,7 @@
 }
 
 function getFirstCost(
-  { unreadPrompts, record }: EngineView,
+  { prefillingPrompts, record }: EngineView,
   { usedSlotsShare }: EngineUsage,
   { need, hasIdleConnection, canStartAt }: ChoosePathOptions,
 ): number | undefined {
@@ -257,7 +257,8 @@
   if (need && usedSlotsShare >= getUsableShare(need)) return undefined;
   const isConnected = hasIdleConnection?.(record.engineId) ?? true;
   return FULL_SLOTS_COST_MS * getExcess(usedSlotsShare, BUSY_SLOTS_SHARE) +
-    SLOTS_COST_MS * usedSlotsShare + PREFILLING_PROMPT_COST_MS * unreadPrompts +
+    SLOTS_COST_MS * usedSlotsShare +
+    PREFILLING_PROMPT_COST_MS * prefillingPrompts +
     (isConnected ? 0 : NEW_CONNECTION_COST_MS);
 }
 
@@ -300,9 +301,9 @@
   maxUnreportedRequests: number,
 ): EngineUsage {
   const { model, gatewayCount } = options;
-  const { tokensInFlight, tokensThen } = view;
+  const { tokensInFlight, tokensAtReport } = view;
   const usualTokens = getUsualTokens(model);
-  const requestsAtReport = tokensThen / usualTokens;
+  const requestsAtReport = tokensAtReport / usualTokens;
   const randomGrowth = RANDOM_GROWTH_DEVIATIONS *
     Math.sqrt(requestsAtReport + 1);
   const surge = Math.max(
@@ -323,11 +324,11 @@
   { record, otherTokens, otherRequests }: EngineView,
   expected: ExpectedWork | undefined,
 ): { tokens: number; requests: number } {
-  const keptShare = 1 - (expected?.endedShare ?? 0);
+  const runningShare = 1 - (expected?.endedShare ?? 0);
   const begun = expected?.begun[record.engineId];
   return {
-    tokens: otherTokens * keptShare + (begun?.tokens ?? 0),
-    requests: otherRequests * keptShare + (begun?.requests ?? 0),
+    tokens: otherTokens * runningShare + (begun?.tokens ?? 0),
+    requests: otherRequests * runningShare + (begun?.requests ?? 0),
   };
 }
 
--- a/src/gateway/choose_path_test.ts
+++ b/src/gateway/choose_path_test.ts
@@ -82,10 +82,10 @@
   assert.equal(path?.map(({ engineId }) => engineId), ["a0", "b4"]);
   assert.is(choose(false), undefined);
   const end = table.beginPrompt(path ?? []);
-  assert.is(table.getCrossingPrompts(), 1);
+  assert.is(table.getCrossPlacePrompts(), 1);
   end();
   end();
-  assert.is(table.getCrossingPrompts(), 0);
+  assert.is(table.getCrossPlacePrompts(), 0);
   const whole = { ...makeHalf("c", 0), layers: { fromLayer: 0, toLayer: 8 } };
   const full = { ...whole, card: "slow", slots: 1 };
   table.take({ type: "engines", isWhole: false, engines: [full], gone: [] });
--- a/src/gateway/create_engine_notices.ts
+++ b/src/gateway/create_engine_notices.ts
@@ -108,8 +108,13 @@
 export function createEngineNotices(
   options: CreateEngineNoticesOptions,
 ): EngineNotices {
-  const { steadyNow, random, log, metrics, comeBack = DEFAULT_SLOW_START } =
-    options;
+  const {
+    steadyNow,
+    random,
+    log,
+    metrics,
+    comeBack: slowStart = DEFAULT_SLOW_START,
+  } = options;
   const backOffs = new Map<string, BackOff>();
   const leaving = new Set<string>();
 
@@ -134,12 +139,12 @@
 
   function recordBackOff(engineId: string, backOffMs: number): void {
     deleteExpired();
-    const jitterMs = backOffMs * comeBack.spreadShare * random();
+    const jitterMs = backOffMs * slowStart.spreadShare * random();
     const backOff = getBackOff(engineId);
     if (!isRunning(backOff)) backOff.probesLeft = PROBES_PER_BACK_OFF;
     // A shorter back-off that is requested later doesn't end a longer one.
     backOff.endMs = Math.max(backOff.endMs, steadyNow() + backOffMs + jitterMs);
-    backOff.window = comeBack.firstWindow;
+    backOff.window = slowStart.firstWindow;
     metrics.count("engines.rests_asked");
     log("engineAsksForBackOff", { engineId, backOffMs });
   }
--- a/src/gateway/create_engine_table.ts
+++ b/src/gateway/create_engine_table.ts
@@ -67,7 +67,7 @@
    */
   beginPrompt(path: readonly PathPart[]): () => void;
   /** Prompts of this gateway that are being read across data centres. */
-  getCrossingPrompts(): number;
+  getCrossPlacePrompts(): number;
   /** Excludes an upstream for a while; for longer each time in a row. */
   suspect(engineId: string, reason: string): void;
   /** Excludes an upstream that others found lost: the leader already knows. */
@@ -75,7 +75,7 @@
   /** Excludes an upstream for a moment: it had no free capacity. */
   noteFull(engineId: string): void;
   /** Records how slow an upstream reports itself to be; 1 where it is not slow. */
-  notePace(engineId: string, pace: number): void;
+  notePace(engineId: string, slowness: number): void;
   /** Records whether an answer succeeded. */
   noteAnswer(engineId: string, outcome: { failed: boolean }): void;
   /** Upstreams suspected since the last call. */
@@ -143,7 +143,7 @@
     readonly notices?: TableNotices;
   },
 ): EngineTable {
-  const { now, log, onGone, notices = NO_NOTICES } = options;
+  const { now, log, onGone: onRemoved, notices = NO_NOTICES } = options;
   const engines = new Map<string, EngineView>();
   const serving = new Set<string>();
   const ended = new Set<string>();
@@ -213,7 +213,7 @@
     if (!engine) return;
     noteDisplaced(engine);
     engines.delete(engineId);
-    onGone(engineId);
+    onRemoved(engineId);
   }
 
   function exclude(engineId: string, reason: string): void {
@@ -261,7 +261,7 @@
       for (const [engineId, engine] of engines) {
         engine.otherRequests = others[engineId]?.requests ?? 0;
         engine.otherTokens = others[engineId]?.tokens ?? 0;
-        engine.tokensThen = reportedLoads[engineId]?.tokens ?? 0;
+        engine.tokensAtReport = reportedLoads[engineId]?.tokens ?? 0;
       }
     },
     getLoadsAgeMs: () => now() - loadsReceivedMs + LOADS_LAG_MS,
@@ -296,17 +296,17 @@
     beginPrompt(path) {
       const engine = engines.get(path[0].engineId);
       const crossing = crossesPlaces(path) ? 1 : 0;
-      if (engine) engine.unreadPrompts += 1;
+      if (engine) engine.prefillingPrompts += 1;
       crossingPrompts += crossing;
       let isRead = false;
       return () => {
         if (isRead) return;
         isRead = true;
-        if (engine) engine.unreadPrompts -= 1;
+        if (engine) engine.prefillingPrompts -= 1;
         crossingPrompts -= crossing;
       };
     },
-    getCrossingPrompts: () => crossingPrompts,
+    getCrossPlacePrompts: () => crossingPrompts,
     suspect(engineId, reason) {
       if (!engines.has(engineId)) return;
       suspects.add(engineId);
@@ -317,11 +317,11 @@
       const engine = engines.get(engineId);
       if (engine) engine.fullUntilMs = now() + FULL_MS;
     },
-    notePace(engineId, pace) {
+    notePace(engineId, slowness) {
       const engine = engines.get(engineId);
       if (!engine) return;
-      engine.toldPace = Math.max(1, pace);
-      engine.toldPaceMs = now();
+      engine.reportedSlowness = Math.max(1, slowness);
+      engine.slownessReportedMs = now();
     },
     noteAnswer(engineId, { failed }) {
       const engine = engines.get(engineId);
--- a/src/gateway/create_loss_news_test.ts
+++ b/src/gateway/create_loss_news_test.ts
@@ -14,24 +14,24 @@
 }
 
 test("the order in which the gateways of a data centre probe differs between engines", () => {
-  const news = GATEWAYS.slice(0, 20).map(({ vm }) => startReports(vm, "a"));
+  const reports = GATEWAYS.slice(0, 20).map(({ vm }) => startReports(vm, "a"));
   const engineIds = Array.from({ length: 200 }, (_, at) => `e${at}`);
   for (const engineId of engineIds) {
-    const ranks = news.map((one) => one.getAskerRank(engineId));
+    const ranks = reports.map((one) => one.getAskerRank(engineId));
     assert.equal(ranks.sort((a, b) => a - b), [...ranks.keys()]);
   }
-  const firsts = news.map((one) =>
+  const firsts = reports.map((one) =>
     engineIds.filter((engineId) => one.getAskerRank(engineId) === 0).length
   );
   assert.ok(Math.max(...firsts) < 25, `${firsts}`);
 });
 
 test("a lost engine is reported once", () => {
-  const news = startReports("g0", "a");
-  news.note("e1");
-  news.note("e1");
-  assert.equal(news.take(), ["e1"]);
-  assert.equal(news.take(), []);
+  const reports = startReports("g0", "a");
+  reports.note("e1");
+  reports.note("e1");
+  assert.equal(reports.take(), ["e1"]);
+  assert.equal(reports.take(), []);
 });
 
 test("a gateway that isn't registered yet probes with the first", () => {
--- a/src/gateway/create_send_waits.ts
+++ b/src/gateway/create_send_waits.ts
@@ -68,13 +68,13 @@
  * const waits = createSendWaits(options);
  */
 export function createSendWaits(options: CreateSendWaitsOptions): SendWaits {
-  const { onLook, onGiveUp } = options;
+  const { onLook: onCheck, onGiveUp } = options;
   let budgetWaitedMs = 0;
   return {
     // Waits only as long as the first event can still arrive in time.
     waitForRoom() {
       if (!options.roomWait.mayWait()) return onGiveUp("full");
-      setTimeout(onLook, CAPACITY_POLL_MS);
+      setTimeout(onCheck, CAPACITY_POLL_MS);
     },
     waitForPath({ onWait, leftMs = 0 }) {
       const limitMs = options.hasBegun()
@@ -84,13 +84,13 @@
       if (silenceMs > limitMs) return onGiveUp("no path");
       if (silenceMs + leftMs > limitMs) return onGiveUp("no path in time");
       onWait();
-      setTimeout(onLook, PATH_POLL_MS);
+      setTimeout(onCheck, PATH_POLL_MS);
     },
     // The leader is asked to lend budget; its response takes a round trip.
     waitForRepeats() {
       if (budgetWaitedMs >= MAX_BUDGET_WAIT_MS) return onGiveUp("no budget");
       budgetWaitedMs += BUDGET_POLL_MS;
-      setTimeout(onLook, BUDGET_POLL_MS);
+      setTimeout(onCheck, BUDGET_POLL_MS);
     },
     noteSent() {
       budgetWaitedMs = 0;
--- a/src/gateway/engine_view.ts
+++ b/src/gateway/engine_view.ts
@@ -13,7 +13,7 @@
   /** Requests of this gateway that start on it. */
   inFlight: number;
   /** Those of them whose prompt is being read: they have returned no event yet. */
-  unreadPrompts: number;
+  prefillingPrompts: number;
   /** Tokens of this gateway's requests on it. */
   tokensInFlight: number;
   /** Requests of the other gateways that start on it, as the leader reported. */
@@ -21,7 +21,7 @@
   /** Tokens of the other gateways' requests on it. */
   otherTokens: number;
   /** This gateway's tokens on it at the last report of the others'. */
-  tokensThen: number;
+  tokensAtReport: number;
   /** Newest load that it reported, over its slots. */
   toldLoad: number;
   /** Time, in ms, until which it is excluded as suspected. */
@@ -35,9 +35,9 @@
   /** Time, in ms, of the last answer. */
   answeredMs: number;
   /** Slowness that it reported to this gateway, as a factor on its usual times. */
-  toldPace: number;
+  reportedSlowness: number;
   /** Time, in ms, of that report. */
-  toldPaceMs: number;
+  slownessReportedMs: number;
 }
 
 /** Half-life, in ms, of recorded failures. */
@@ -80,11 +80,14 @@
  * const slowness = getSlowness(view, performance.now());
  */
 export function getSlowness(
-  view: Pick<EngineView, "record" | "toldPace" | "toldPaceMs">,
+  view: Pick<EngineView, "record" | "reportedSlowness" | "slownessReportedMs">,
   nowMs: number,
 ): number {
-  const isFresh = nowMs - view.toldPaceMs < MAX_SLOWNESS_AGE_MS;
-  return Math.max(view.record.slowness ?? 1, isFresh ? view.toldPace : 1);
+  const isFresh = nowMs - view.slownessReportedMs < MAX_SLOWNESS_AGE_MS;
+  return Math.max(
+    view.record.slowness ?? 1,
+    isFresh ? view.reportedSlowness : 1,
+  );
 }
 
 /**
@@ -100,18 +103,18 @@
   return {
     record,
     inFlight: 0,
-    unreadPrompts: 0,
+    prefillingPrompts: 0,
     tokensInFlight: 0,
     otherRequests: 0,
     otherTokens: 0,
-    tokensThen: 0,
+    tokensAtReport: 0,
     toldLoad: 0,
     suspectUntilMs: 0,
     fullUntilMs: 0,
     suspicions: 0,
     failureShare: 0,
     answeredMs: 0,
-    toldPace: 1,
-    toldPaceMs: -Infinity,
+    reportedSlowness: 1,
+    slownessReportedMs: -Infinity,
   };
 }
--- a/src/gateway/expect_others.ts
+++ b/src/gateway/expect_others.ts
@@ -57,9 +57,15 @@
  * const expected = estimateOtherWork(options);
  */
 export function expectOthers(options: ExpectOthersOptions): ExpectedWork {
-  const { begunRequests, endedShare, usualTokens, choose, random } = options;
-  const earlierRequests = random() * begunRequests;
-  const share = earlierRequests / begunRequests;
+  const {
+    begunRequests: startedRequests,
+    endedShare,
+    usualTokens,
+    choose,
+    random,
+  } = options;
+  const earlierRequests = random() * startedRequests;
+  const share = earlierRequests / startedRequests;
   const choices = Math.min(
     Math.ceil(earlierRequests),
     Math.max(1, Math.round(MAX_SIMULATED_CHOICES * share)),
