--- a/src/gateway/choose_path_test.ts
+++ b/src/gateway/choose_path_test.ts
@@ -190,7 +190,7 @@
     onGone: () => {},
   });
   const slots = 134;
-  const room = { ...MODEL, kvTokenBytes: 8_000, slots };
+  const model = { ...MODEL, kvTokenBytes: 8_000, slots };
   const ids = Array.from({ length: 10 }, (_, at) => `e${at}`);
   const engines = ids.map((engineId) => ({
     engineId,
@@ -209,7 +209,7 @@
   for (let begun = 0; begun < 4; begun++) table.addWork(path, { tokens: 40 });
   const hasRoom = (maxUnreportedRequests: number | undefined) =>
     choosePath(table.listUsable("model"), {
-      model: room,
+      model,
       place: "p",
       gatewayCount: 200,
       maxUnreportedRequests,
--- a/src/gateway/create_engine_notices.ts
+++ b/src/gateway/create_engine_notices.ts
@@ -76,8 +76,8 @@
  * Gateways that were asked to back off at the same moment return at different moments,
  * and each with a single request first. In a model of 11 gateways and 3 upstreams at
  * 0.8 of their capacity, 0.44 of the requests are answered in time where all return at
- * once, 0.57 with jitter, 0.73 with one request first, 0.77 with both (npm run measure
- * -- rest).
+ * once, 0.57 with jitter, 0.73 with one request first, 0.77 with both
+ * (npm run measure -- rest).
  */
 const DEFAULT_SLOW_START: ComeBack = { spreadShare: 0.1, firstWindow: 1 };
 
--- a/src/gateway/create_engine_table_test.ts
+++ b/src/gateway/create_engine_table_test.ts
@@ -104,8 +104,13 @@
   assert.equal(table.listUsable("s").map(({ record }) => record), [second]);
   assert.ok(table.isLeaving("e1"));
   assert.equal(table.listUntoldLeaves(), ["e1"]);
-  const told = { ...first, isLeaving: true };
-  table.take({ type: "engines", isWhole: false, engines: [told], gone: [] });
+  const leavingRecord = { ...first, isLeaving: true };
+  table.take({
+    type: "engines",
+    isWhole: false,
+    engines: [leavingRecord],
+    gone: [],
+  });
   assert.equal(table.listUntoldLeaves(), []);
   // Removed and listed again: a new leader that doesn't know of the notice yet.
   table.take({ type: "engines", isWhole: true, engines: [second], gone: [] });
--- a/src/gateway/create_loss_news.ts
+++ b/src/gateway/create_loss_news.ts
@@ -48,8 +48,10 @@
       return taken;
     },
     getAskerRank(engineId) {
-      const near = listReady().filter((gateway) => gateway.place === place);
-      const names = near.map((gateway) => gateway.vm);
+      const samePlace = listReady().filter((gateway) =>
+        gateway.place === place
+      );
+      const names = samePlace.map((gateway) => gateway.vm);
       return Math.max(0, rankByRendezvous(names, engineId).indexOf(vm));
     },
   };
--- a/src/gateway/expect_others_test.ts
+++ b/src/gateway/expect_others_test.ts
@@ -6,10 +6,14 @@
 const LOAD = { gateways: 200, spanMs: 8_000, seed: 7 };
 
 test("at 300 streams a second engines refuse almost none; 0.3 per stream where gateways use reported loads alone", () => {
-  const told = playChoices({ ...LOAD, askedPerS: 300, expectsOthers: false });
+  const baseline = playChoices({
+    ...LOAD,
+    askedPerS: 300,
+    expectsOthers: false,
+  });
   assert.ok(
-    told.refusals > 0.2 * told.asked,
-    `${told.refusals} with reported loads alone`,
+    baseline.refusals > 0.2 * baseline.asked,
+    `${baseline.refusals} with reported loads alone`,
   );
   const { asked, begun, refusals } = playChoices({
     ...LOAD,
@@ -21,10 +25,14 @@
 });
 
 test("at 380 a second nearly all start; one in twenty doesn't with reported loads alone", () => {
-  const told = playChoices({ ...LOAD, askedPerS: 380, expectsOthers: false });
+  const baseline = playChoices({
+    ...LOAD,
+    askedPerS: 380,
+    expectsOthers: false,
+  });
   assert.ok(
-    told.begun < 0.96 * told.asked,
-    `${told.begun} with reported loads alone`,
+    baseline.begun < 0.96 * baseline.asked,
+    `${baseline.begun} with reported loads alone`,
   );
   const { asked, begun } = playChoices({
     ...LOAD,
