--- a/src/gateway/create_call_end.ts
+++ b/src/gateway/create_call_end.ts
@@ -1,5 +1,5 @@
 /**
- * The one end that each call comes to.
+ * Completes a call exactly once: with an answer, a rejection or a disconnect.
  *
  * @module
  */
@@ -8,35 +8,35 @@
 import type { Refusal, UpstreamHead } from "./protocol.ts";
 import type { Call, ServingContext } from "./types.ts";
 
-/** What an end needs to know. */
+/** Options of {@link createCallEnd}. */
 export interface CreateCallEndOptions {
   readonly call: Call;
   readonly context: ServingContext;
-  /** What is logged of the call besides the usual. */
+  /** Returns additional log fields of the call. */
   readonly describe: () => Readonly<Record<string, unknown>>;
-  /** Called once the call has ended, whatever ended it. */
+  /** Called once when the call ends, for whatever reason. */
   readonly onEnd: (outcome: string) => void;
-  /** Called when the call's time is over. */
+  /** Called when the deadline of the call has passed. */
   readonly onDeadline: () => void;
 }
 
-/** The one end that a call comes to. */
+/** Completion of one call. */
 export interface CallEnd {
   hasEnded(): boolean;
-  /** Ends it; only the first end counts. */
+  /** Ends the call; later calls have no effect. */
   end(outcome: string): void;
-  /** Answers with a refusal or a failure of the gateway's own, and ends. */
+  /** Answers with a rejection or a failure of the gateway itself, and ends the call. */
   refuse(refusal: Refusal): void;
-  /** Passes an upstream's whole answer on, and ends. */
-  passOn(head: UpstreamHead, body: Uint8Array): void;
+  /** Forwards an upstream's complete answer, and ends the call. */
+  forwardAnswer(head: UpstreamHead, body: Uint8Array): void;
 }
 
 /**
- * Makes the end of a call; it comes also when the caller leaves and when the
- * call's time is over.
+ * Creates the completion of a call. The call also ends when the caller
+ * disconnects; `onDeadline` decides what happens at its deadline.
  *
- * @param options - The call, and who hears of its end.
- * @returns The end.
+ * @param options - The call, and callbacks for its end and deadline.
+ * @returns The completion.
  * @throws Nothing.
  * @example
  * callEnd.refuse({ status: 502, reason: "answer_broken" });
@@ -80,7 +80,7 @@
       answerRefusal(response, { codec, request, refusal, closes });
       end(refusal.reason);
     },
-    passOn(head, body) {
+    forwardAnswer(head, body) {
       if (ended) return;
       response.writeHead(head.status, [
         ...head.headers,
--- a/src/gateway/create_exchanger.ts
+++ b/src/gateway/create_exchanger.ts
@@ -1,6 +1,6 @@
 /**
- * One exchange with one upstream, over connections that are kept, telling
- * exactly how far a failed one had come.
+ * HTTP client for upstreams. It keeps connections alive and reports exactly how far
+ * a failed exchange had come.
  *
  * @module
  */
@@ -11,22 +11,23 @@
 import type { EngineNotice } from "../engines/index.ts";
 import type { CallerCodec, UpstreamHead } from "./protocol.ts";
 
-/** What is sent, and who hears the answer. */
+/** The request of one exchange, and callbacks for the answer. */
 export interface ExchangeOptions {
   readonly engineId: string;
   readonly address: string;
   readonly method: string;
   readonly target: string;
-  /** Names and values in turn. */
+  /** Header names and values, alternating. */
   readonly headers: string[];
   readonly body: Buffer | null;
   readonly requestId: string;
   /**
-   * Whether it may still leave, asked when a connection is there; always by default.
-   * A connection takes up to 400 ms, in which its upstream may ask for a back-off.
+   * Whether the request may still be sent; called once a connection is available. By
+   * default it always may. Connecting takes up to 400 ms, during which the upstream may
+   * ask for a back-off.
    */
-  readonly mayLeave?: () => boolean;
-  /** Called once the head of the answer is in and belongs to the request. */
+  readonly maySend?: () => boolean;
+  /** Called when the head of the answer has arrived and matches the request. */
   readonly onHead: (head: UpstreamHead) => void;
   readonly onData: (chunk: Buffer) => void;
   readonly onEnd: (end: ExchangeEnd) => void;
@@ -35,57 +36,57 @@
 /** How an exchange ended. */
 export type ExchangeEnd =
   | { readonly type: "complete" }
-  /** No byte of the request had left. */
+  /** No byte of the request was sent. */
   | { readonly type: "notSent"; readonly reason: string }
-  /** No byte had left when it no longer might. */
+  /** `maySend` returned false before any byte was sent. */
   | { readonly type: "withheld" }
-  /** It was sent; whether it ran is not known. */
+  /** The request was sent; whether it ran is unknown. */
   | { readonly type: "broken"; readonly reason: string };
 
-/** An exchange under way. */
+/** An exchange in progress. */
 export interface Exchange {
-  /** Ends it; the upstream sees its connection close. */
+  /** Aborts the exchange and closes its connection. */
   abort(reason: string): void;
   pause(): void;
   resume(): void;
 }
 
-/** Makes exchanges; keeps the connections. */
+/** Starts exchanges over a connection pool for each upstream. */
 export interface Exchanger extends AsyncDisposable {
   start(options: ExchangeOptions): Exchange;
-  /** Whether a connection to an upstream stands idle. */
+  /** Whether there is an idle connection to an upstream. */
   hasIdleConnection(engineId: string): boolean;
-  /** Closes the idle connections to an upstream that is gone. */
+  /** Closes the idle connections to an upstream that has departed. */
   forget(engineId: string): void;
 }
 
-/** What the exchanger needs of its program. */
+/** Options of {@link createExchanger}. */
 export interface CreateExchangerOptions {
-  /** Called with what an upstream says of itself in any answer, also a late one. */
+  /** Called with the status notice in each answer of an upstream, even a late one. */
   readonly onNotice?: (engineId: string, notice: EngineNotice) => void;
 }
 
-/** Ms for a connection within a region; far above a round trip. */
+/** Time-out, in ms, of a connection attempt within a region; far above a round trip. */
 const CONNECT_TIMEOUT_MS = 400;
 
-/** Ms for which an idle connection is kept where the upstream says nothing. */
+/** Ms for which an idle connection is kept if the upstream sends no keep-alive hint. */
 const KEEP_ALIVE_MS = 4_000;
 
-/** Ms by which a connection is closed before the upstream would close it. */
+/** Ms before the upstream's own idle time-out at which a connection is closed. */
 const KEEP_ALIVE_MARGIN_MS = 1_000;
 
-/** Code of a reset that the library does not take for an end. */
+/** Error code for a reset that the HTTP library does not treat as a normal end. */
 const RESET_CODE = "CONNECTION_WAS_RESET";
 
 /**
- * Makes an exchanger.
+ * Creates an HTTP client for upstreams.
  *
  * @param codec - Reads the heads of answers.
- * @param options - Who hears what upstreams say of themselves.
- * @returns The exchanger; disposing of it closes its connections.
+ * @param options - Callback for the status notices of upstreams.
+ * @returns The client; disposing of it closes its connections.
  * @throws Nothing.
  * @example
- * await using exchanger = createExchanger(codec);
+ * await using client = createUpstreamClient(codec);
  */
 export function createExchanger(
   codec: Pick<CallerCodec, "readUpstreamHead">,
@@ -93,14 +94,14 @@
 ): Exchanger {
   const pools = new Map<string, Pool>();
   let isClosed = false;
-  // True while the end of a connection that was reset is told; the library
-  // ends its answer in the same turn.
-  let isEndedByReset = false;
+  // True while the end of a connection that was reset is being handled; the library
+  // ends the answer in the same event loop turn.
+  let endedByReset = false;
 
-  function noteResetEnd(): void {
-    isEndedByReset = true;
+  function markEndedByReset(): void {
+    endedByReset = true;
     process.nextTick(() => {
-      isEndedByReset = false;
+      endedByReset = false;
     });
   }
 
@@ -108,11 +109,11 @@
     const known = pools.get(engineId);
     if (known) return known;
     const pool = new Pool(`http://${address}`, {
-      connect: createConnector(noteResetEnd),
+      connect: createConnector(markEndedByReset),
       pipelining: 1,
       keepAliveTimeout: KEEP_ALIVE_MS,
       keepAliveTimeoutThreshold: KEEP_ALIVE_MARGIN_MS,
-      // The gateway has time limits of its own for each request.
+      // The gateway applies its own time limits to each request.
       headersTimeout: 0,
       bodyTimeout: 0,
     });
@@ -121,11 +122,11 @@
   }
 
   function start(options: ExchangeOptions): Exchange {
-    return isClosed ? refuseToStart(options) : send(options);
+    return isClosed ? rejectWhenClosed(options) : send(options);
   }
 
-  // Streams that are cut by the end of the process try to go on.
-  function refuseToStart({ onEnd }: ExchangeOptions): Exchange {
+  // Streams that break because this process is stopping try to resume.
+  function rejectWhenClosed({ onEnd }: ExchangeOptions): Exchange {
     queueMicrotask(() => onEnd({ type: "notSent", reason: "stopping" }));
     return { abort: () => {}, pause: () => {}, resume: () => {} };
   }
@@ -153,7 +154,8 @@
 
     function abort(reason: string): void {
       if (isEnded) return;
-      // Settled first: what the library reports afterwards is no news.
+      // Settle the exchange first, so that the error that the library reports for the
+      // abort is ignored.
       fail(reason);
       controller?.abort(new Error(reason));
     }
@@ -162,8 +164,8 @@
       onRequestStart(started) {
         controller = started;
         clearTimeout(connectTimer);
-        if (options.mayLeave?.() === false) end({ type: "withheld" });
-        if (isEnded) started.abort(new Error("given up"));
+        if (options.maySend?.() === false) end({ type: "withheld" });
+        if (isEnded) started.abort(new Error("exchange has ended"));
         else isSent = true;
       },
       onResponseStart(_controller, status, answerHeaders) {
@@ -180,7 +182,7 @@
         if (!isEnded) options.onData(chunk);
       },
       onResponseEnd() {
-        if (isEndedByReset) fail("reset behind the data");
+        if (endedByReset) fail("reset behind the data");
         else end({ type: "complete" });
       },
       onResponseError: (_controller, error) => fail(error.message),
@@ -216,11 +218,11 @@
   };
 }
 
-// An answer without a length ends with its connection, and one that is reset
-// is not complete. Two signs of a reset get lost on the way: the library takes
-// the error for an end, and the runtime tells an end where the reset came right
-// behind the data. In the second case the peer's address is gone at the end; it
-// is looked at only then, for the runtime keeps the first one it reads.
+// An answer without a length ends with its connection; if the connection is reset,
+// the answer is incomplete. A reset goes unnoticed in two cases: the library treats
+// ECONNRESET as a normal end, and the runtime reports an end if the reset arrives right
+// after the data. In the second case the socket has no remote address any more at its
+// end. It must not be read earlier, as the runtime caches the first value read.
 function createConnector(
   onResetEnd: () => void,
 ): buildConnector.connector {
--- a/src/gateway/create_exchanger_test.ts
+++ b/src/gateway/create_exchanger_test.ts
@@ -24,7 +24,7 @@
   }),
 } as CallerCodec;
 
-/** Serves each request on a raw socket as the test says. */
+/** Starts a TCP server that calls `answer` for each chunk of data received. */
 async function startRawServer(answer: (socket: Socket) => void) {
   const server = createServer((socket) => {
     socket.on("data", () => answer(socket));
@@ -42,8 +42,8 @@
   };
 }
 
-/** Starts an exchange of which nothing but its end is of interest. */
-function startAny(
+/** Starts an exchange and returns how it ended. */
+function runExchange(
   exchanger: Exchanger,
   options: Pick<ExchangeOptions, "address"> & Partial<ExchangeOptions>,
 ): Promise<ExchangeEnd> {
@@ -92,7 +92,7 @@
 
 const HEAD = "HTTP/1.1 200 OK\r\nx-id: r1\r\n";
 
-test("an answer with a length is complete when it is all there", async () => {
+test("an answer with a length is complete when all of it has arrived", async () => {
   const { end, body } = await exchange((socket) =>
     socket.write(`${HEAD}content-length: 4\r\n\r\nabcd`)
   );
@@ -125,7 +125,7 @@
     assert.is(end.type, "broken");
   });
 
-  test(`an answer that is reset at once is broken: ${name}`, async () => {
+  test(`an answer that is reset right after its data is broken: ${name}`, async () => {
     const { end } = await exchange((socket) => {
       socket.write(`${head}ab`, () => socket.resetAndDestroy());
     });
@@ -140,7 +140,7 @@
   assert.is(end.type, "broken");
 });
 
-test("an answer to another request is broken and tells no head", async () => {
+test("an answer to another request is broken, and its head is not passed on", async () => {
   const { end, status } = await exchange(
     (socket) => socket.write(`${HEAD}content-length: 0\r\n\r\n`),
     "r2",
@@ -149,7 +149,7 @@
   assert.is(status, undefined);
 });
 
-test("a connection that nobody takes has sent nothing", async () => {
+test("nothing is sent when the connection is refused", async () => {
   await using exchanger = createExchanger(codec);
   const end = await new Promise<ExchangeEnd>((resolve) => {
     exchanger.start({
@@ -168,7 +168,7 @@
   assert.is(end.type, "notSent");
 });
 
-test("after the end nothing is sent, and who asks hears so later", async () => {
+test("a disposed client sends nothing and reports that asynchronously", async () => {
   const exchanger = createExchanger(codec);
   await exchanger[Symbol.asyncDispose]();
   let end: ExchangeEnd | undefined;
@@ -182,8 +182,8 @@
     requestId: "r1",
     onHead: () => {},
     onData: () => {},
-    onEnd: (told) => {
-      end = told;
+    onEnd: (received) => {
+      end = received;
     },
   });
   assert.is(end, undefined);
@@ -191,7 +191,7 @@
   assert.is(end?.type, "notSent");
 });
 
-test("a second answer on a connection reaches nobody", async () => {
+test("an unsolicited second answer on a connection is ignored", async () => {
   const whole = `${HEAD}content-length: 1\r\n\r\na`;
   await using server = await startRawServer((socket) =>
     socket.write(whole + whole)
@@ -219,7 +219,7 @@
   }
 });
 
-test("a connection stands idle between two exchanges, until the upstream is gone", async () => {
+test("a connection is idle between two exchanges, until its upstream is removed", async () => {
   await using server = await startRawServer((socket) =>
     socket.write(`${HEAD}content-length: 4\r\n\r\nabcd`)
   );
@@ -245,38 +245,38 @@
   assert.not(exchanger.hasIdleConnection("e"));
 });
 
-test("what may no longer leave when its connection is there never does", async () => {
-  const reached: string[] = [];
+test("a request that may no longer be sent once it has a connection is withheld", async () => {
+  const receivedRequests: string[] = [];
   await using server = await startRawServer((socket) => {
-    reached.push("request");
+    receivedRequests.push("request");
     socket.end();
   });
   await using exchanger = createExchanger(codec);
-  let mayLeave = true;
-  const ending = startAny(exchanger, {
+  let mayBeSent = true;
+  const ending = runExchange(exchanger, {
     address: server.address,
-    mayLeave: () => mayLeave,
+    maySend: () => mayBeSent,
   });
-  // Its upstream asks for rest while the connection is being made.
-  mayLeave = false;
+  // The upstream asks for a back-off while the connection is being established.
+  mayBeSent = false;
   assert.equal(await ending, { type: "withheld" });
   await sleep(50);
-  assert.equal(reached, []);
+  assert.equal(receivedRequests, []);
 });
 
-test("what an upstream says of itself counts in answers to others too", async () => {
-  const noticed: boolean[] = [];
+test("a status notice is read even from an answer to another request", async () => {
+  const notices: boolean[] = [];
   await using server = await startRawServer((socket) =>
     socket.write(
       "HTTP/1.1 503 x\r\nx-id: other\r\nx-leaving: 1\r\ncontent-length: 0\r\n\r\n",
     )
   );
   await using exchanger = createExchanger(codec, {
-    onNotice: (_engineId, { isLeaving }) => void noticed.push(isLeaving),
+    onNotice: (_engineId, { isLeaving }) => void notices.push(isLeaving),
   });
-  const end = await startAny(exchanger, { address: server.address });
+  const end = await runExchange(exchanger, { address: server.address });
   assert.is(end.type, "broken");
-  assert.equal(noticed, [true]);
+  assert.equal(notices, [true]);
 });
 
 test.run();
--- a/src/gateway/create_pause_watch.ts
+++ b/src/gateway/create_pause_watch.ts
@@ -1,5 +1,5 @@
 /**
- * Notes which engines streams with long pauses run over.
+ * Tracks the engines that serve streams with long pauses between events.
  *
  * @module
  */
@@ -9,53 +9,55 @@
 /** A pause between two events of a stream. */
 export interface StreamPause {
   readonly pauseMs: number;
-  /** Pause, in ms, that callers bear; 0 where it is not said. */
-  readonly bearableMs: number;
-  /** Engines that the stream runs over. */
+  /** Pause, in ms, that callers tolerate; 0 if the route does not set one. */
+  readonly toleratedMs: number;
+  /** Engines that serve the stream. */
   readonly path: readonly Pick<PathPart, "engineId">[];
 }
 
-/** Notes the pauses of all streams. */
+/** Tracks the pauses of all streams. */
 export interface PauseWatch {
-  /** Notes a pause between two events. */
-  notePause(pause: StreamPause): void;
-  /** Engines of streams with a long pause since the last call. */
+  /** Records a pause between two events. */
+  recordPause(pause: StreamPause): void;
+  /** Returns the engines of streams that had a long pause since the previous call. */
   takeSlow(): readonly string[];
 }
 
-/** Share of what callers bear from which on a pause counts as long. */
-const LONG_SHARE = 0.6;
+/** Share of the tolerated pause above which a pause counts as long. */
+const LONG_PAUSE_RATIO = 0.6;
 
-/** Ms that callers bear where the route says nothing. */
-const DEFAULT_BEARABLE_MS = 500;
+/** Tolerated pause, in ms, if the route does not set one. */
+const DEFAULT_TOLERATED_PAUSE_MS = 500;
 
 /**
- * Engines that are named at a time, at most: those of a few paths. More slow
- * streams than that are news of a fleet that is slow as a whole.
+ * Maximum number of engines reported at a time: those of a few paths. More slow
+ * streams than that mean that the fleet as a whole is slow.
  */
-const MAX_NAMED = 24;
+const MAX_SLOW_ENGINES = 24;
 
 /**
- * Makes the watch.
+ * Creates a pause tracker.
  *
- * @returns The watch.
+ * @returns The tracker.
  * @throws Nothing.
  * @example
- * createPauseWatch().notePause({ pauseMs: 250, bearableMs: 200, path });
+ * createPauseTracker().recordPause({ pauseMs: 250, toleratedMs: 200, path });
  */
 export function createPauseWatch(): PauseWatch {
-  let slow = new Set<string>();
+  let slowEngineIds = new Set<string>();
   return {
-    notePause({ pauseMs, bearableMs, path }) {
-      const limitMs = bearableMs > 0 ? bearableMs : DEFAULT_BEARABLE_MS;
-      if (pauseMs <= limitMs * LONG_SHARE) return;
+    recordPause({ pauseMs, toleratedMs, path }) {
+      const limitMs = toleratedMs > 0
+        ? toleratedMs
+        : DEFAULT_TOLERATED_PAUSE_MS;
+      if (pauseMs <= limitMs * LONG_PAUSE_RATIO) return;
       for (const { engineId } of path) {
-        if (slow.size < MAX_NAMED) slow.add(engineId);
+        if (slowEngineIds.size < MAX_SLOW_ENGINES) slowEngineIds.add(engineId);
       }
     },
     takeSlow() {
-      const taken = [...slow];
-      slow = new Set();
+      const taken = [...slowEngineIds];
+      slowEngineIds = new Set();
       return taken;
     },
   };
--- /dev/null
+++ b/src/gateway/create_run_migrator.ts
@@ -0,0 +1,126 @@
+/**
+ * Moves a running stream off engines that have failed, are leaving or are stalled.
+ *
+ * @module
+ */
+
+import type { StreamRelay } from "./create_stream_relay.ts";
+import type { AddressedPart } from "./protocol.ts";
+import { moveOffEngine, recoverStalledRun } from "./recover_stalled_run.ts";
+import type { StreamRun } from "./start_stream_run.ts";
+import type { Call, ServingContext } from "./types.ts";
+
+/** Options of {@link createRunMigrator}: the stream whose runs are moved. */
+export interface CreateRunMigratorOptions {
+  readonly relay: StreamRelay;
+  /** Engines excluded for this call because they failed it; the migrator adds to them. */
+  readonly excluded: Set<string>;
+  /** Whether a run is still the one serving the call. */
+  readonly isCurrent: (run: StreamRun) => boolean;
+}
+
+/** Moves the runs of one call between engines. */
+export interface RunMigrator {
+  /** Checks a run that has been silent for long; moves or aborts it if it is stalled. */
+  checkStall(run: StreamRun): void;
+  /** Moves a run off an engine that is leaving, once another engine holds its layers. */
+  checkLeaving(run: StreamRun): void;
+  /** Moves a run off an engine that has failed, or aborts the run. */
+  leaveFailedEngine(
+    run: StreamRun,
+    failure: { readonly engineId: string; readonly reason: string },
+  ): Promise<void>;
+}
+
+/** Interval, in ms, between attempts to move a run off an engine that is leaving. */
+const MOVE_RETRY_INTERVAL_MS = 300;
+
+/**
+ * Creates the run migrator of one call.
+ *
+ * @param call - The call.
+ * @param context - The engines and their control interface.
+ * @param options - The stream and its excluded engines.
+ * @returns The migrator.
+ * @throws Nothing.
+ * @example
+ * const migrator = createRunMigrator(call, context, { relay, excluded, isCurrent });
+ */
+export function createRunMigrator(
+  call: Call,
+  context: ServingContext,
+  options: CreateRunMigratorOptions,
+): RunMigrator {
+  const { relay, excluded, isCurrent } = options;
+  const { engines, now, metrics } = context;
+  let isChecking = false;
+  let nextMoveMs = 0;
+
+  async function runCheck(task: () => Promise<void>): Promise<void> {
+    isChecking = true;
+    try {
+      await task();
+    } finally {
+      isChecking = false;
+    }
+  }
+
+  async function recover(silentRun: StreamRun): Promise<void> {
+    const { events } = relay.getProgress();
+    const { path } = silentRun;
+    const recovery = await recoverStalledRun(call, context, { path, excluded });
+    if (!isCurrent(silentRun)) return;
+    if (recovery.type === "moved") return applyMove(silentRun, recovery.path);
+    // A run that has passed an event to the caller in the meantime has not failed.
+    const hasFailed = recovery.type === "lost" &&
+      relay.getProgress().events === events;
+    if (!hasFailed) return;
+    engines.suspect(recovery.engineId, recovery.reason);
+    excluded.add(recovery.engineId).add(path[0].engineId);
+    silentRun.abort(recovery.reason);
+  }
+
+  function applyMove(run: StreamRun, path: readonly AddressedPart[]): void {
+    run.switchPath(path);
+    relay.restartSilence();
+    metrics.count("paths.changed");
+  }
+
+  async function moveOffLeaving(
+    run: StreamRun,
+    engineId: string,
+  ): Promise<void> {
+    const { path } = run;
+    const moveOptions = { path, excluded, engineId };
+    const newPath = await moveOffEngine(call, context, moveOptions);
+    if (newPath && isCurrent(run)) applyMove(run, newPath);
+  }
+
+  return {
+    checkStall(run) {
+      if (isChecking || !isCurrent(run)) return;
+      void runCheck(() => recover(run));
+    },
+    // Another engine holds the layers of a leaving one within a few seconds; the move is
+    // retried until then.
+    checkLeaving(run) {
+      if (isChecking || !run.hasBegun || !isCurrent(run)) return;
+      const leavingPart = run.path.slice(1)
+        .find(({ engineId }) => engines.isLeaving(engineId));
+      if (!leavingPart || now() < nextMoveMs) return;
+      nextMoveMs = now() + MOVE_RETRY_INTERVAL_MS;
+      void runCheck(() => moveOffLeaving(run, leavingPart.engineId));
+    },
+    // If a nearby engine takes over the failed engine's part, the other engines of the
+    // path keep their state of the stream, and the prompt is not processed again there.
+    async leaveFailedEngine(run, { engineId, reason }) {
+      const { path } = run;
+      const moveOptions = { path, excluded, engineId };
+      const newPath = run.hasBegun &&
+        await moveOffEngine(call, context, moveOptions);
+      if (!isCurrent(run)) return;
+      if (newPath) applyMove(run, newPath);
+      else run.leave(engineId, reason);
+    },
+  };
+}
--- a/src/gateway/create_run_watch.ts
+++ b/src/gateway/create_run_watch.ts
@@ -1,7 +1,7 @@
 /**
- * Watches the runs of streams: when those that begin at one engine fall silent
- * together, their engines are asked whether they are there, and runs are told
- * to leave the ones that are not.
+ * Monitors running streams. When the runs that share a first engine stop
+ * producing events together, their engines are probed, and the runs leave the
+ * engines that have failed.
  *
  * @module
  */
@@ -14,319 +14,344 @@
   EnginePresence,
 } from "./protocol.ts";
 
-/** A run of a stream, as the watch sees it. */
-export interface WatchedRun {
+/** A run of a stream, as the monitor sees it. */
+export interface MonitoredRun {
   /**
-   * Whether its engines are asked when it falls silent. Where one engine serves
-   * alone, its own look is enough.
+   * Whether the run uses several engines, which are probed when it is silent. For a
+   * run on a single engine, `checkStall` is enough.
    */
-  readonly isOverParts: boolean;
+  readonly isLayered: boolean;
   getPath(): readonly AddressedPart[];
-  /** Whether it has given an event. */
+  /** Whether an event has arrived. */
   hasBegun(): boolean;
-  /** Ms since its newest event, or since something was done about it. */
+  /** Ms since the newest event, or since the last attempt to recover the run. */
   getSilenceMs(): number;
-  /** Its usual pause between events, in ms; 0 before it had any. */
+  /** Usual pause between events, in ms; 0 before the first pause. */
   getUsualPauseMs(): number;
-  /** Called at each look at a run that was silent for long by itself. */
+  /** Called on each poll while the run alone has been silent for too long. */
   checkStall(): void;
-  /** Called at each look, so that it may move off engines that leave. */
+  /** Called on each poll, so that the run can move off engines that are leaving. */
   checkLeaving(): void;
-  /** Called when an engine of its path is lost. */
+  /** Called when an engine of the path has failed. */
   leave(engineId: string, reason: string): void;
 }
 
-/** An engine and where it is asked. */
+/** An engine and the address at which it is probed. */
 type EngineAddress = Pick<AddressedPart, "engineId" | "address">;
 
-/** What the watch needs. */
+/** Options of {@link createRunWatch}. */
 export interface CreateRunWatchOptions {
   readonly engineControl: Pick<EngineControl, "checkPresence">;
-  /** Called when an engine told how slow it is. */
+  /** Called with the slowdown factor that an engine reports when it is probed. */
   readonly onPace: (engineId: string, pace: number) => void;
-  /** Called with what an engine says of itself in its answer. */
+  /** Called with the status notice in an engine's answer. */
   readonly onNotice?: (engineId: string, notice: EngineNotice) => void;
-  /** Whether an engine may be asked now; any may by default. */
+  /** Whether an engine may be probed now; by default, any may. */
   readonly mayAsk?: (engineId: string) => boolean;
-  /** Called when an engine is found to be lost. */
+  /** Called when an engine is found to have failed. */
   readonly onLost: (engineId: string, reason: string) => void;
   /**
-   * This gateway's place in the order in which those of its data centre ask
-   * after the streams that begin at an engine; the first by default.
+   * Zero-based rank of this gateway among those of its data centre in probing for
+   * the streams that start at an engine; 0 by default.
    */
   readonly getAskerRank?: (firstEngineId: string) => number;
   /** Monotonic time, in ms. */
   readonly now: () => number;
 }
 
-/** Watches the runs of streams. */
+/** Monitors running streams for failed engines. */
 export interface RunWatch {
-  /** Watches a run until what is returned is called. */
-  add(run: WatchedRun): () => void;
-  /** Other gateways found engines lost: silent runs over them leave them. */
+  /** Monitors a run until the returned function is called. */
+  add(run: MonitoredRun): () => void;
+  /** Handles engines that other gateways found failed: silent runs leave them. */
   takeLost(engineIds: readonly string[]): void;
   /**
-   * Asks one engine that another one named as at fault. One that says nothing is
-   * gone: engines that are full or leave answer.
+   * Probes an engine that another engine named as faulty. If it does not answer, it
+   * has failed: an engine that is merely full or leaving does answer.
    */
   checkEngine(engine: EngineAddress): void;
 }
 
-/** Why a run leaves an engine whose machine turns connections down. */
+/** Reason for which a run leaves an engine whose machine refuses connections. */
 export const REFUSES_CONNECTIONS = "refuses connections";
 
-/** Ms of silence from which on a run looks after itself. */
-const STALL_CHECK_MS = 300;
+/** Silence, in ms, after which a single run checks for a stall by itself. */
+const STALL_CHECK_SILENCE_MS = 300;
 
-/** Ms between two looks at most. */
-const MAX_LOOK_MS = 100;
+/** Longest interval, in ms, between two polls. */
+const MAX_POLL_INTERVAL_MS = 100;
 
-/** Ms between two looks at least. */
-const MIN_LOOK_MS = 10;
+/** Shortest interval, in ms, between two polls. */
+const MIN_POLL_INTERVAL_MS = 10;
 
 /**
- * Ms for an engine to say that it is there: a round of a few ms, and some more
- * where it is busy.
+ * Time-out, in ms, of a probe: a round trip takes a few ms, and a busy engine needs
+ * some more.
  */
-const PRESENCE_TIMEOUT_MS = 25;
+const PROBE_TIMEOUT_MS = 25;
 
 /**
- * Each question makes the next one need twice the silence, up to so many times:
- * where engines are busy, silence says little and questions cost.
+ * Upper bound of the factor on the silence that triggers a probe. Each probe doubles
+ * the factor: when engines are busy, silence is a weak sign and probes add load.
  */
-const MAX_CAUTION = 32;
+const MAX_THRESHOLD_FACTOR = 32;
 
-/** Ms in which half of the caution is forgotten. */
-const CAUTION_HALF_LIFE_MS = 2_000;
+/** Half-life, in ms, of that factor. */
+const THRESHOLD_FACTOR_HALF_LIFE_MS = 2_000;
 
-/** Ms for which what an engine said is not asked again. */
-const PRESENCE_AGE_MS = 250;
+/** Ms for which a probe is valid: until then the engine is not probed again. */
+const PROBE_TTL_MS = 250;
 
 /**
- * Gateways of a data centre that ask as soon as runs are silent. The others hear
- * of what these find and ask by themselves only a while later: with 21 gateways in
- * a data centre one silent engine is else asked by all of them.
+ * Gateways of a data centre that probe as soon as runs are silent. The others receive
+ * what these find, and probe only after a delay: otherwise all 21 gateways of a data
+ * centre would probe one silent engine.
  */
-const FIRST_ASKERS = 3;
+const FIRST_PROBERS = 3;
 
-/** Ms by which each next set of as many gateways asks later. */
-const BACKUP_STEP_MS = 40;
+/** Additional delay, in ms, for each further set of as many gateways. */
+const PROBE_DELAY_STEP_MS = 40;
 
-/** Ms by which the last ones ask later: callers bear pauses of 200 ms and more. */
-const MAX_BACKUP_MS = 160;
+/** Longest delay, in ms, of a probe: callers tolerate pauses of 200 ms and more. */
+const MAX_PROBE_DELAY_MS = 160;
 
-/** Ms for which what others found counts. */
-const FOUND_AGE_MS = 1_000;
+/** Ms for which a report that an engine has failed stays valid. */
+const FAILURE_REPORT_TTL_MS = 1_000;
 
 /**
- * Ms by which a look is late where this process itself stood still: then the
- * silence was its own.
+ * Delay of a timer, in ms, above which this process itself was stalled, so that
+ * silence from engines proves nothing.
  */
-const OWN_STALL_MS = 30;
+const PROCESS_STALL_MS = 30;
 
 /**
- * Makes the watch; its timer runs only while runs are watched.
+ * Creates a run monitor. Its timer runs only while runs are monitored.
  *
- * @param options - How engines are asked, and who hears of lost ones.
- * @returns The watch.
+ * @param options - How engines are probed, and callbacks for failed engines.
+ * @returns The monitor.
  * @throws Nothing.
  * @example
- * const watch = createRunWatch({ engineControl, onLost, now });
+ * const monitor = createRunMonitor({ engineControl, onPace, onEngineFailed, now });
  */
 export function createRunWatch(options: CreateRunWatchOptions): RunWatch {
-  const { engineControl, now, getAskerRank = () => 0 } = options;
-  const { onNotice = () => {}, mayAsk = () => true } = options;
-  const runs = new Set<WatchedRun>();
-  const askedMs = new Map<string, number>();
-  const foundMs = new Map<string, number>();
-  const leftByRun = new WeakMap<WatchedRun, Set<string>>();
-  const cautions = new Map<string, { factor: number; sinceMs: number }>();
+  const { engineControl, now, getAskerRank: getRank = () => 0 } = options;
+  const { onNotice = () => {}, mayAsk: canProbe = () => true } = options;
+  const runs = new Set<MonitoredRun>();
+  const probedAtMs = new Map<string, number>();
+  const failedAtMs = new Map<string, number>();
+  const leftEnginesByRun = new WeakMap<MonitoredRun, Set<string>>();
+  const thresholdFactors = new Map<
+    string,
+    { factor: number; sinceMs: number }
+  >();
   let timer: ReturnType<typeof setTimeout> | undefined;
   let dueMs = 0;
-  let trustedFromMs = 0;
+  let silenceValidFromMs = 0;
 
-  function arm(delayMs: number): void {
+  function schedulePoll(delayMs: number): void {
     dueMs = now() + delayMs;
-    timer = setTimeout(look, delayMs);
+    timer = setTimeout(poll, delayMs);
   }
 
-  function look(): void {
+  function poll(): void {
     timer = undefined;
     if (runs.size === 0) return;
-    if (now() - dueMs > OWN_STALL_MS) trustedFromMs = now();
+    if (now() - dueMs > PROCESS_STALL_MS) silenceValidFromMs = now();
     for (const run of [...runs]) {
       run.checkLeaving();
-      if (run.getSilenceMs() >= STALL_CHECK_MS) run.checkStall();
+      if (run.getSilenceMs() >= STALL_CHECK_SILENCE_MS) run.checkStall();
     }
     const groups = listGroups();
-    const found = groups.filter(isOverFound);
-    found.forEach(leaveFound);
-    groups.filter((group) => isSilent(group) && !found.includes(group))
-      .forEach(askGroup);
+    const affected = groups.filter(usesFailedEngine);
+    affected.forEach(leaveFailedEngines);
+    groups.filter((group) => isSilent(group) && !affected.includes(group))
+      .forEach(probeGroup);
     const waits = groups.map((group) => group.limitMs - group.silenceMs)
       .filter((waitMs) => waitMs > 0);
-    arm(Math.max(MIN_LOOK_MS, Math.min(MAX_LOOK_MS, ...waits)));
+    schedulePoll(
+      Math.max(MIN_POLL_INTERVAL_MS, Math.min(MAX_POLL_INTERVAL_MS, ...waits)),
+    );
   }
 
   function listGroups() {
-    const overParts = [...runs].filter((run) => run.isOverParts);
-    return groupRuns(overParts.map((run) => ({
+    const layeredRuns = [...runs].filter((run) => run.isLayered);
+    return groupRuns(layeredRuns.map((run) => ({
       run,
       firstEngineId: run.getPath()[0].engineId,
       hasBegun: run.hasBegun(),
       usualPauseMs: run.getUsualPauseMs(),
-      silenceMs: Math.min(run.getSilenceMs(), now() - trustedFromMs),
+      silenceMs: Math.min(run.getSilenceMs(), now() - silenceValidFromMs),
     })));
   }
 
-  function getCaution(firstEngineId: string): number {
-    const caution = cautions.get(firstEngineId);
-    if (!caution) return 1;
-    const ageMs = now() - caution.sinceMs;
-    return Math.max(1, caution.factor * 2 ** (-ageMs / CAUTION_HALF_LIFE_MS));
+  function getThresholdFactor(firstEngineId: string): number {
+    const threshold = thresholdFactors.get(firstEngineId);
+    if (!threshold) return 1;
+    const ageMs = now() - threshold.sinceMs;
+    return Math.max(
+      1,
+      threshold.factor * 2 ** (-ageMs / THRESHOLD_FACTOR_HALF_LIFE_MS),
+    );
   }
 
   type Group = RunGroup<ReturnType<typeof listGroups>[number]["runs"][number]>;
 
   function isSilent({ silenceMs, limitMs, firstEngineId }: Group): boolean {
-    const askAfterMs = limitMs * getCaution(firstEngineId);
-    if (silenceMs < askAfterMs) return false;
-    return silenceMs >= askAfterMs + getBackupMs(firstEngineId);
+    const probeAfterMs = limitMs * getThresholdFactor(firstEngineId);
+    if (silenceMs < probeAfterMs) return false;
+    return silenceMs >= probeAfterMs + getProbeDelayMs(firstEngineId);
   }
 
-  function getBackupMs(firstEngineId: string): number {
-    const sets = Math.floor(getAskerRank(firstEngineId) / FIRST_ASKERS);
-    return Math.min(MAX_BACKUP_MS, sets * BACKUP_STEP_MS);
+  function getProbeDelayMs(firstEngineId: string): number {
+    const precedingSets = Math.floor(
+      getRank(firstEngineId) / FIRST_PROBERS,
+    );
+    return Math.min(MAX_PROBE_DELAY_MS, precedingSets * PROBE_DELAY_STEP_MS);
   }
 
-  // What was found takes the place of a question, not of the silence.
-  function isOverFound({ silenceMs, limitMs, runs: members }: Group): boolean {
+  // A report replaces the probe, but the runs must have been silent all the same.
+  function usesFailedEngine(
+    { silenceMs, limitMs, runs: members }: Group,
+  ): boolean {
     if (silenceMs < limitMs) return false;
     return members.some(({ run }) =>
-      run.getPath().some(({ engineId }) => isFound(engineId))
+      run.getPath().some(({ engineId }) => isKnownFailed(engineId))
     );
   }
 
-  function leaveFound(group: Group): void {
+  function leaveFailedEngines(group: Group): void {
     for (const { run } of group.runs) {
-      const lost = run.getPath().find(({ engineId }) => isFound(engineId));
-      if (lost) leaveOnce(run, lost.engineId);
+      const failedPart = run.getPath().find(({ engineId }) =>
+        isKnownFailed(engineId)
+      );
+      if (failedPart) leaveEngineOnce(run, failedPart.engineId);
     }
   }
 
-  // To leave takes a moment, in which the run is looked at again.
-  function leaveOnce(run: WatchedRun, engineId: string): void {
-    const left = leftByRun.get(run) ?? new Set<string>();
+  // Leaving an engine is asynchronous, and the run may be polled again meanwhile.
+  function leaveEngineOnce(run: MonitoredRun, engineId: string): void {
+    const left = leftEnginesByRun.get(run) ?? new Set<string>();
     if (left.has(engineId)) return;
-    leftByRun.set(run, left.add(engineId));
-    run.leave(engineId, "was found lost");
+    leftEnginesByRun.set(run, left.add(engineId));
+    run.leave(engineId, "reported as failed");
   }
 
-  function isFound(engineId: string): boolean {
-    return now() - (foundMs.get(engineId) ?? -Infinity) < FOUND_AGE_MS;
+  function isKnownFailed(engineId: string): boolean {
+    return now() - (failedAtMs.get(engineId) ?? -Infinity) <
+      FAILURE_REPORT_TTL_MS;
   }
 
-  function noteQuestion(firstEngineId: string): void {
-    const factor = Math.min(MAX_CAUTION, 2 * getCaution(firstEngineId));
-    cautions.set(firstEngineId, { factor, sinceMs: now() });
+  function raiseThreshold(firstEngineId: string): void {
+    const factor = Math.min(
+      MAX_THRESHOLD_FACTOR,
+      2 * getThresholdFactor(firstEngineId),
+    );
+    thresholdFactors.set(firstEngineId, { factor, sinceMs: now() });
   }
 
-  function askGroup(group: Group): void {
-    const alive = listAlive();
+  function probeGroup(group: Group): void {
+    const aliveEngineIds = listAlive();
     const parts = group.runs.flatMap(({ run }) => run.getPath())
-      .filter(({ engineId }) => !alive.has(engineId));
+      .filter(({ engineId }) => !aliveEngineIds.has(engineId));
     const engines = new Map(parts.map((part) => [part.engineId, part]));
     const { firstEngineId } = group;
-    noteQuestion(firstEngineId);
+    raiseThreshold(firstEngineId);
     const isStillSilent = () =>
-      listGroups().some((one) =>
-        one.firstEngineId === firstEngineId && one.silenceMs >= one.limitMs
+      listGroups().some((current) =>
+        current.firstEngineId === firstEngineId &&
+        current.silenceMs >= current.limitMs
       );
-    for (const engine of engines.values()) void ask(engine, { isStillSilent });
+    for (const part of engines.values()) void probe(part, { isStillSilent });
   }
 
-  // Engines over which some run has just got an event.
+  // Engines on the path of a run that has just received an event.
   function listAlive(): ReadonlySet<string> {
-    const fresh = [...runs].filter((run) =>
+    const activeRuns = [...runs].filter((run) =>
       run.hasBegun() && run.getSilenceMs() < SHARED_SILENCE_MS
     );
-    const parts = fresh.flatMap((run) => run.getPath());
+    const parts = activeRuns.flatMap((run) => run.getPath());
     return new Set(parts.map(({ engineId }) => engineId));
   }
 
-  // An engine that refuses connections is gone. One that says nothing may just
-  // be slow: it counts as lost only while its runs stay silent too.
-  async function ask(
+  // An engine that refuses connections has failed. One that does not answer may only
+  // be slow: it counts as failed only if its runs are still silent too.
+  async function probe(
     engine: EngineAddress,
     { isStillSilent }: { isStillSilent: () => boolean },
   ): Promise<void> {
     const { engineId } = engine;
-    const state = await askPresence(engine);
-    if (state === "absent") lose(engineId, REFUSES_CONNECTIONS);
+    const state = await probePresence(engine);
+    if (state === "absent") markFailed(engineId, REFUSES_CONNECTIONS);
     if (state === "silent" && isStillSilent()) {
-      lose(engineId, "does not answer");
+      markFailed(engineId, "does not answer");
     }
   }
 
-  // What an engine said a moment ago is not asked again.
-  async function askPresence(
+  // Returns undefined if the engine was probed a moment ago or may not be probed, or
+  // if this process was stalled while it waited for the answer.
+  async function probePresence(
     { engineId, address }: EngineAddress,
   ): Promise<EnginePresence["state"] | undefined> {
-    if (now() - (askedMs.get(engineId) ?? -Infinity) < PRESENCE_AGE_MS) return;
-    if (!mayAsk(engineId)) return;
-    askedMs.set(engineId, now());
-    const dueAnswerMs = now() + PRESENCE_TIMEOUT_MS;
+    if (now() - (probedAtMs.get(engineId) ?? -Infinity) < PROBE_TTL_MS) return;
+    if (!canProbe(engineId)) return;
+    probedAtMs.set(engineId, now());
+    const answerDueMs = now() + PROBE_TIMEOUT_MS;
     const presence = await engineControl
       .checkPresence(address, {
-        timeoutMs: PRESENCE_TIMEOUT_MS,
+        timeoutMs: PROBE_TIMEOUT_MS,
         onNotice: (notice) => onNotice(engineId, notice),
       });
     if (presence.state === "present") options.onPace(engineId, presence.pace);
-    const stoodStill = now() - dueAnswerMs > OWN_STALL_MS;
-    return presence.state === "silent" && stoodStill
+    const processStalled = now() - answerDueMs > PROCESS_STALL_MS;
+    return presence.state === "silent" && processStalled
       ? undefined
       : presence.state;
   }
 
-  // Streams whose events still come may run over an engine whose answer was lost:
-  // they leave it once they are silent.
-  async function checkEngine(engine: EngineAddress): Promise<void> {
+  // The engine may be well and only its answer lost, so streams that still receive
+  // events stay on it; they leave once they are silent.
+  async function probeNamedEngine(engine: EngineAddress): Promise<void> {
     const { engineId } = engine;
-    const state = await askPresence(engine);
-    if (state === "absent") lose(engineId, REFUSES_CONNECTIONS);
+    const state = await probePresence(engine);
+    if (state === "absent") markFailed(engineId, REFUSES_CONNECTIONS);
     if (state !== "silent") return;
-    foundMs.set(engineId, now());
-    options.onLost(engineId, "is named as at fault and does not answer");
+    failedAtMs.set(engineId, now());
+    options.onLost(
+      engineId,
+      "named as faulty by another engine and does not answer",
+    );
   }
 
-  function lose(engineId: string, reason: string): void {
+  function markFailed(engineId: string, reason: string): void {
     options.onLost(engineId, reason);
     for (const run of [...runs]) {
-      const isOver = run.getPath().some((part) => part.engineId === engineId);
-      if (isOver) run.leave(engineId, reason);
+      const isAffected = run.getPath().some((part) =>
+        part.engineId === engineId
+      );
+      if (isAffected) run.leave(engineId, reason);
     }
   }
 
   return {
     add(run) {
       runs.add(run);
-      if (!timer) arm(MAX_LOOK_MS);
+      if (!timer) schedulePoll(MAX_POLL_INTERVAL_MS);
       return () => {
         runs.delete(run);
         if (runs.size > 0) return;
         clearTimeout(timer);
         timer = undefined;
-        askedMs.clear();
-        foundMs.clear();
-        cautions.clear();
+        probedAtMs.clear();
+        failedAtMs.clear();
+        thresholdFactors.clear();
       };
     },
     takeLost(engineIds) {
-      for (const engineId of engineIds) foundMs.set(engineId, now());
+      for (const engineId of engineIds) failedAtMs.set(engineId, now());
       if (!timer) return;
       clearTimeout(timer);
-      look();
+      poll();
     },
-    checkEngine: (engine) => void checkEngine(engine),
+    checkEngine: (engine) => void probeNamedEngine(engine),
   };
 }
--- a/src/gateway/create_run_watch_test.ts
+++ b/src/gateway/create_run_watch_test.ts
@@ -1,7 +1,7 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { createRunWatch, type WatchedRun } from "./create_run_watch.ts";
+import { createRunWatch, type MonitoredRun } from "./create_run_watch.ts";
 import {
   groupRuns,
   SHARED_SILENCE_MS,
@@ -9,7 +9,7 @@
 } from "./group_runs.ts";
 import type { EnginePresence } from "./protocol.ts";
 
-interface FakeRun extends WatchedRun {
+interface FakeRun extends MonitoredRun {
   readonly left: string[];
   silenceMs: number;
 }
@@ -23,7 +23,7 @@
   }));
   const run: FakeRun = {
     left: [],
-    isOverParts: true,
+    isLayered: true,
     silenceMs,
     getPath: () => path,
     hasBegun: () => true,
@@ -38,7 +38,7 @@
 
 const PRESENT: EnginePresence = { state: "present", pace: 1 };
 
-function startWatch(
+function startTestWatch(
   presence: Readonly<Record<string, EnginePresence>>,
   options: {
     readonly getAskerRank?: () => number;
@@ -63,12 +63,12 @@
   return { watch, asked, lost, paces };
 }
 
-async function untilAsked(asked: readonly string[]): Promise<void> {
+async function waitForProbe(asked: readonly string[]): Promise<void> {
   while (asked.length === 0) await sleep(5);
   await sleep(5);
 }
 
-test("a group is as silent as its newest event; several say more than one", () => {
+test("a group's silence starts at its newest event; several runs have a lower limit", () => {
   const one = {
     firstEngineId: "a",
     hasBegun: true,
@@ -83,153 +83,156 @@
   assert.is(groupRuns([one, fresh])[0].limitMs, SINGLE_SILENCE_MS);
 });
 
-test("runs over an engine that refuses connections leave it, others stay", async () => {
-  const { watch, asked, lost } = startWatch({ b: { state: "absent" } });
-  const over = [makeRun(["a", "b"], 200), makeRun(["a", "b"], 200)];
-  const beside = makeRun(["c", "d"], 5);
-  const removals = [...over, beside].map(watch.add);
-  await untilAsked(asked);
+test("runs leave an engine that refuses connections; runs on other engines stay", async () => {
+  const { watch, asked, lost } = startTestWatch({ b: { state: "absent" } });
+  const affected = [makeRun(["a", "b"], 200), makeRun(["a", "b"], 200)];
+  const unaffected = makeRun(["c", "d"], 5);
+  const removals = [...affected, unaffected].map(watch.add);
+  await waitForProbe(asked);
   assert.equal(lost, ["b"]);
-  assert.equal(over.map(({ left }) => left), [["b"], ["b"]]);
-  assert.equal(beside.left, []);
+  assert.equal(affected.map(({ left }) => left), [["b"], ["b"]]);
+  assert.equal(unaffected.left, []);
   assert.not.ok(asked.includes("c"));
   removals.forEach((remove) => remove());
 });
 
-test("an engine that may not be asked is neither asked nor lost", async () => {
-  const { watch, asked, lost } = startWatch({
+test("an engine that may not be probed is neither probed nor counted as failed", async () => {
+  const { watch, asked, lost } = startTestWatch({
     a: { state: "silent" },
     b: { state: "silent" },
   }, { mayAsk: (engineId) => engineId !== "a" });
   const remove = watch.add(makeRun(["a", "b"], 200));
   watch.checkEngine({ engineId: "a", address: "a" });
-  await untilAsked(asked);
+  await waitForProbe(asked);
   assert.equal(asked, ["b"]);
   assert.not.ok(lost.includes("a"));
   remove();
 });
 
-test("what an engine says of its pace, when it is asked, is told", async () => {
-  const { watch, asked, paces } = startWatch({
+test("the slowdown factor in the answer to a probe is reported", async () => {
+  const { watch, asked, paces } = startTestWatch({
     a: { state: "present", pace: 6 },
   });
   const remove = watch.add(makeRun(["a", "b"], SINGLE_SILENCE_MS + 5));
-  await untilAsked(asked);
+  await waitForProbe(asked);
   assert.is(paces.get("a"), 6);
   assert.is(paces.get("b"), 1);
   remove();
 });
 
-test("an engine that says nothing is left only while its runs are silent", async () => {
-  const { watch, asked, lost } = startWatch({ b: { state: "silent" } });
+test("runs leave an unresponsive engine only while they are silent", async () => {
+  const { watch, asked, lost } = startTestWatch({ b: { state: "silent" } });
   const run = makeRun(["a", "b"], 200);
   const remove = watch.add(run);
-  await untilAsked(asked);
+  await waitForProbe(asked);
   assert.equal(lost, ["b"]);
   remove();
 
-  const other = startWatch({ b: { state: "silent" } });
-  const busy = makeRun(["a", "b"], 5);
-  const removeBusy = other.watch.add(busy);
+  const other = startTestWatch({ b: { state: "silent" } });
+  const active = makeRun(["a", "b"], 5);
+  const removeActive = other.watch.add(active);
   await sleep(150);
   assert.equal(other.asked, []);
-  assert.equal(busy.left, []);
-  removeBusy();
+  assert.equal(active.left, []);
+  removeActive();
 });
 
-test("an engine that another names as missing, and that says nothing, is left out; runs stay while they get events", async () => {
-  const { watch, asked, lost } = startWatch({ b: { state: "silent" } });
-  const busy = makeRun(["a", "b"], 5);
-  const remove = watch.add(busy);
-  watch.checkEngine(busy.getPath()[1]);
-  await untilAsked(asked);
+test("an unresponsive engine named as faulty has failed, but runs stay while they get events", async () => {
+  const { watch, asked, lost } = startTestWatch({ b: { state: "silent" } });
+  const active = makeRun(["a", "b"], 5);
+  const remove = watch.add(active);
+  watch.checkEngine(active.getPath()[1]);
+  await waitForProbe(asked);
   assert.equal(lost, ["b"]);
   await sleep(150);
-  assert.equal(busy.left, []);
-  busy.silenceMs = SINGLE_SILENCE_MS + 5;
-  while (busy.left.length === 0) await sleep(5);
-  // It isn't asked again, nor is the other one.
+  assert.equal(active.left, []);
+  active.silenceMs = SINGLE_SILENCE_MS + 5;
+  while (active.left.length === 0) await sleep(5);
+  // Neither it nor the other engine is probed again.
   assert.equal(asked, ["b"]);
   remove();
 });
 
-test("an engine that another names as full, and that answers, stays", async () => {
-  const { watch, asked, lost } = startWatch({});
+test("an engine named as faulty that answers a probe has not failed", async () => {
+  const { watch, asked, lost } = startTestWatch({});
   watch.checkEngine({ engineId: "b", address: "b" });
-  await untilAsked(asked);
+  await waitForProbe(asked);
   assert.equal(lost, []);
 });
 
-test("engines that are there are left to the run's own look", async () => {
-  const { watch, asked, lost } = startWatch({});
-  let looks = 0;
-  const run = { ...makeRun(["a", "b"], 400), checkStall: () => void looks++ };
+test("a silent run whose engines answer probes checks itself for a stall", async () => {
+  const { watch, asked, lost } = startTestWatch({});
+  let stallChecks = 0;
+  const run = {
+    ...makeRun(["a", "b"], 400),
+    checkStall: () => void stallChecks++,
+  };
   const remove = watch.add(run);
-  await untilAsked(asked);
-  assert.ok(looks > 0);
+  await waitForProbe(asked);
+  assert.ok(stallChecks > 0);
   assert.equal(lost, []);
   remove();
 });
 
-test("one engine that serves alone is left to the run's own look", async () => {
-  const { watch, asked } = startWatch({});
-  let looks = 0;
+test("a silent run on a single engine checks itself, without a probe", async () => {
+  const { watch, asked } = startTestWatch({});
+  let stallChecks = 0;
   const remove = watch.add({
     ...makeRun(["a"], 400),
-    isOverParts: false,
-    checkStall: () => void looks++,
+    isLayered: false,
+    checkStall: () => void stallChecks++,
   });
-  while (looks === 0) await sleep(5);
+  while (stallChecks === 0) await sleep(5);
   assert.equal(asked, []);
   remove();
 });
 
-test("the longer nothing is found lost, the fewer questions are asked", async () => {
-  const { watch, asked } = startWatch({});
+test("probes become rarer while no engine is found failed", async () => {
+  const { watch, asked } = startTestWatch({});
   const run = makeRun(["a"], 100);
   const removals = [watch.add(run), watch.add(makeRun(["a"], 100))];
-  await untilAsked(asked);
-  // Longer than what an engine said is kept for.
+  await waitForProbe(asked);
+  // Longer than the time for which an engine is not probed again.
   await sleep(400);
   assert.is(asked.length, 1);
   removals.forEach((remove) => remove());
 });
 
-test("of many gateways few ask at once, the others when nothing is heard from them", async () => {
+test("a gateway with a later probe rank probes only after a delay", async () => {
   const silenceMs = SINGLE_SILENCE_MS + 20;
-  const late = startWatch({}, { getAskerRank: () => 7 });
+  const delayed = startTestWatch({}, { getAskerRank: () => 7 });
   const run = makeRun(["a"], silenceMs);
-  const remove = late.watch.add(run);
+  const remove = delayed.watch.add(run);
   await sleep(150);
-  assert.equal(late.asked, []);
+  assert.equal(delayed.asked, []);
   run.silenceMs = SINGLE_SILENCE_MS + 81;
-  await untilAsked(late.asked);
+  await waitForProbe(delayed.asked);
   remove();
 });
 
-test("engines over which other runs get events are not asked", async () => {
-  const { watch, asked } = startWatch({});
+test("engines of other runs that receive events are not probed", async () => {
+  const { watch, asked } = startTestWatch({});
   const silent = makeRun(["a", "b", "c"], SINGLE_SILENCE_MS + 5);
-  const beside = makeRun(["d", "b"], 5);
-  const removals = [silent, beside].map(watch.add);
-  await untilAsked(asked);
+  const unaffected = makeRun(["d", "b"], 5);
+  const removals = [silent, unaffected].map(watch.add);
+  await waitForProbe(asked);
   assert.equal([...asked].sort(), ["a", "c"]);
   removals.forEach((remove) => remove());
 });
 
-test("silent runs leave what other gateways found lost, without a question", async () => {
-  const { watch, asked } = startWatch({}, { getAskerRank: () => 30 });
+test("silent runs leave engines that other gateways found failed, without a probe", async () => {
+  const { watch, asked } = startTestWatch({}, { getAskerRank: () => 30 });
   const silent = makeRun(["a", "b"], SINGLE_SILENCE_MS + 5);
-  const beside = makeRun(["c", "b"], 5);
-  const removals = [silent, beside].map(watch.add);
+  const unaffected = makeRun(["c", "b"], 5);
+  const removals = [silent, unaffected].map(watch.add);
   watch.takeLost(["b"]);
   assert.equal(silent.left, ["b"]);
-  assert.equal(beside.left, []);
-  // It falls silent a little later.
-  beside.silenceMs = SINGLE_SILENCE_MS + 5;
-  while (beside.left.length === 0) await sleep(5);
+  assert.equal(unaffected.left, []);
+  // The other run falls silent a little later.
+  unaffected.silenceMs = SINGLE_SILENCE_MS + 5;
+  while (unaffected.left.length === 0) await sleep(5);
   await sleep(150);
-  assert.equal([silent.left, beside.left], [["b"], ["b"]]);
+  assert.equal([silent.left, unaffected.left], [["b"], ["b"]]);
   assert.equal(asked, []);
   removals.forEach((remove) => remove());
 });
--- a/src/gateway/create_stall_watch.ts
+++ b/src/gateway/create_stall_watch.ts
@@ -1,5 +1,5 @@
 /**
- * Asks engines what stands still there, once for all requests that wait.
+ * Reads the stalled requests of engines; one read serves all requests that wait for it.
  *
  * @module
  */
@@ -11,65 +11,65 @@
   StalledRequest,
 } from "./protocol.ts";
 
-/** What the watch needs. */
+/** Options of {@link createStallWatch}. */
 export interface CreateStallWatchOptions {
   readonly engineControl: Pick<EngineControl, "readStalled">;
-  /** Called with what an engine says of itself in its answer. */
+  /** Called with the status notice in an engine's answer. */
   readonly onNotice: (engineId: string, notice: EngineNotice) => void;
-  /** Whether an engine may be asked now. */
+  /** Whether an engine may be queried now. */
   readonly mayAsk: (engineId: string) => boolean;
   /** Monotonic time, in ms. */
   readonly now: () => number;
 }
 
-/** Asks engines what stands still there. */
+/** Reads and caches the stalled requests of engines. */
 export interface StallWatch {
   /**
-   * Rejects where the engine gives no report. One that may not be asked tells of
-   * nothing that stands still.
+   * Returns the stalled requests of an engine: none if it may not be queried now.
+   * Rejects if the engine gives no report.
    */
-  ask(
+  read(
     engine: Pick<AddressedPart, "engineId" | "address">,
   ): Promise<readonly StalledRequest[]>;
 }
 
-/** Ms for which a report serves all who ask; engines tell with a lag as long. */
-const REPORT_AGE_MS = 250;
+/** Ms for which a report is cached; reports of engines lag by as much anyway. */
+const REPORT_TTL_MS = 250;
 
-/** Ms for a report. */
+/** Time-out, in ms, of reading a report. */
 const REPORT_TIMEOUT_MS = 250;
 
-interface Asked {
+interface CachedReport {
   readonly atMs: number;
   readonly report: Promise<readonly StalledRequest[]>;
 }
 
 /**
- * Makes the watch.
+ * Creates a reader of stalled requests.
  *
- * @param options - How engines are asked, and the time.
- * @returns The watch.
+ * @param options - How engines are queried, and the clock.
+ * @returns The reader.
  * @throws Nothing.
  * @example
- * const stalled = await watch.ask({ engineId, address });
+ * const stalled = await stallReports.read({ engineId, address });
  */
 export function createStallWatch(
   options: CreateStallWatchOptions,
 ): StallWatch {
   const { engineControl, now } = options;
-  const asked = new Map<string, Asked>();
+  const reportsByAddress = new Map<string, CachedReport>();
   return {
-    ask({ engineId, address }) {
-      const last = asked.get(address);
-      if (last && now() - last.atMs < REPORT_AGE_MS) return last.report;
+    read({ engineId, address }) {
+      const last = reportsByAddress.get(address);
+      if (last && now() - last.atMs < REPORT_TTL_MS) return last.report;
       if (!options.mayAsk(engineId)) return Promise.resolve([]);
       const report = engineControl.readStalled(address, {
         timeoutMs: REPORT_TIMEOUT_MS,
         onNotice: (notice) => options.onNotice(engineId, notice),
       });
-      // Whoever asked hears of a failure; nobody else has to.
+      // The callers handle a failure; this avoids an unhandled rejection.
       report.catch(() => {});
-      asked.set(address, { atMs: now(), report });
+      reportsByAddress.set(address, { atMs: now(), report });
       return report;
     },
   };
--- a/src/gateway/create_stall_watch_test.ts
+++ b/src/gateway/create_stall_watch_test.ts
@@ -5,7 +5,7 @@
 const ENGINE = { engineId: "e", address: "e:80" };
 const STALLED = [{ requestId: "r", address: "f:80" }];
 
-function makeWatch({ mayAsk }: { readonly mayAsk: () => boolean }) {
+function createTestWatch({ canQuery }: { readonly canQuery: () => boolean }) {
   const asked: string[] = [];
   const leaving: string[] = [];
   const clock = { ms: 0 };
@@ -18,26 +18,28 @@
       },
     },
     onNotice: (engineId) => void leaving.push(engineId),
-    mayAsk,
+    mayAsk: canQuery,
     now: () => clock.ms,
   });
   return { watch, asked, leaving, clock };
 }
 
-test("one report serves all who ask for a moment, and tells of a leave", async () => {
-  const { watch, asked, leaving, clock } = makeWatch({ mayAsk: () => true });
-  assert.equal(await watch.ask(ENGINE), STALLED);
-  assert.equal(await watch.ask(ENGINE), STALLED);
+test("a report is cached for a moment, and its notice that the engine leaves is passed on", async () => {
+  const { watch, asked, leaving, clock } = createTestWatch({
+    canQuery: () => true,
+  });
+  assert.equal(await watch.read(ENGINE), STALLED);
+  assert.equal(await watch.read(ENGINE), STALLED);
   assert.equal(asked, ["e:80"]);
   assert.equal(leaving, ["e"]);
   clock.ms = 300;
-  await watch.ask(ENGINE);
+  await watch.read(ENGINE);
   assert.is(asked.length, 2);
 });
 
-test("an engine that may not be asked tells of nothing that stands still", async () => {
-  const { watch, asked } = makeWatch({ mayAsk: () => false });
-  assert.equal(await watch.ask(ENGINE), []);
+test("an engine that may not be queried counts as having no stalled requests", async () => {
+  const { watch, asked } = createTestWatch({ canQuery: () => false });
+  assert.equal(await watch.read(ENGINE), []);
   assert.equal(asked, []);
 });
 
--- a/src/gateway/create_stream_relay.ts
+++ b/src/gateway/create_stream_relay.ts
@@ -1,5 +1,5 @@
 /**
- * Passes the events of a stream on to its caller, whichever run they come from.
+ * Forwards the events of a stream to its caller, whichever run they come from.
  *
  * @module
  */
@@ -8,10 +8,10 @@
 import type { ServerResponse } from "node:http";
 import type { StreamEvent } from "./split_events.ts";
 
-/** What the relay needs. */
+/** Options of {@link createStreamRelay}. */
 export interface CreateStreamRelayOptions {
   readonly response: ServerResponse;
-  /** Event after which the caller wants the stream to go on. */
+  /** Id of the event after which the caller resumes the stream. */
   readonly lastEventId: string | undefined;
   /** Called with each pause between two events, in ms. */
   readonly onPause: (pauseMs: number) => void;
@@ -20,40 +20,40 @@
   readonly now: () => number;
 }
 
-/** How a stream went so far. */
+/** Progress of a stream. */
 export interface StreamProgress {
   readonly events: number;
-  /** Id of the newest event that the caller has. */
+  /** Id of the newest event sent to the caller. */
   readonly lastEventId: string | undefined;
-  /** Time, in ms, of the first event. */
+  /** Time, in ms, at which the first event arrived. */
   readonly firstEventMs: number | undefined;
   readonly longestPauseMs: number;
 }
 
-/** Passes the events of a stream on to its caller. */
+/** Forwards the events of a stream to its caller. */
 export interface StreamRelay {
-  /** Passes an event on; false where the caller must first read. */
-  pass(event: StreamEvent): boolean;
+  /** Forwards an event. Returns false if the caller's buffer is full (backpressure). */
+  forward(event: StreamEvent): boolean;
   getProgress(): StreamProgress;
-  /** Ms since the newest event, or since the last call of `restart`. */
+  /** Ms since the newest event, or since the last call of `restartSilence`. */
   getSilenceMs(): number;
-  /** Usual pause between two events lately, in ms; 0 before there was one. */
+  /** Moving average of the pauses between events, in ms; 0 before the first pause. */
   getUsualPauseMs(): number;
-  /** Counts the silence anew: something was done about it. */
-  restart(): void;
+  /** Restarts the measurement of silence, after an attempt to recover the stream. */
+  restartSilence(): void;
 }
 
-/** Weight of the newest pause in the usual one. */
+/** Weight of the newest pause in the moving average. */
 const PAUSE_WEIGHT = 0.2;
 
 /**
- * Makes the relay of one call.
+ * Creates the relay of one call.
  *
- * @param options - The caller, and what it has already.
+ * @param options - The caller's response, and the last event that it has.
  * @returns The relay.
  * @throws Nothing.
  * @example
- * const goesOn = relay.pass(event);
+ * const hasCapacity = relay.forward(event);
  */
 export function createStreamRelay(
   options: CreateStreamRelayOptions,
@@ -65,9 +65,9 @@
   let lastEventMs = 0;
   let longestPauseMs = 0;
   let usualPauseMs = 0;
-  let quietSinceMs = now();
+  let silentSinceMs = now();
 
-  function notePause(atMs: number): void {
+  function recordEvent(atMs: number): void {
     if (firstEventMs === undefined) {
       firstEventMs = atMs;
       options.onFirstEvent();
@@ -80,7 +80,7 @@
       options.onPause(pauseMs);
     }
     lastEventMs = atMs;
-    quietSinceMs = atMs;
+    silentSinceMs = atMs;
   }
 
   function write(bytes: Buffer): boolean {
@@ -89,18 +89,18 @@
   }
 
   return {
-    pass({ id, bytes }) {
-      notePause(now());
-      // A run that goes on may begin with what the caller already has.
+    forward({ id, bytes }) {
+      recordEvent(now());
+      // A resumed run may start with events that the caller already has.
       if (id !== undefined && !isAfter(id, lastEventId)) return true;
       if (id !== undefined) lastEventId = id;
       return write(bytes);
     },
     getProgress: () => ({ events, lastEventId, firstEventMs, longestPauseMs }),
-    getSilenceMs: () => now() - quietSinceMs,
+    getSilenceMs: () => now() - silentSinceMs,
     getUsualPauseMs: () => usualPauseMs,
-    restart() {
-      quietSinceMs = now();
+    restartSilence() {
+      silentSinceMs = now();
     },
   };
 }
--- a/src/gateway/gateway_parts_test.ts
+++ b/src/gateway/gateway_parts_test.ts
@@ -7,7 +7,7 @@
 import { createRepeatBudget } from "./create_repeat_budget.ts";
 import { createEventSplitter } from "./split_events.ts";
 
-test("events come out whole however the stream is cut", () => {
+test("events are complete however the stream is split into chunks", () => {
   const text = "id: 1\ndata: a\n\nid:2\r\ndata: b\r\n\r\ndata: none\n\n";
   const bytes = Buffer.from(text);
   fc.assert(
@@ -17,24 +17,24 @@
         const splitter = createEventSplitter();
         const at = [0, ...cuts.sort((a, b) => a - b), bytes.length];
         const events = at.slice(1).flatMap((end, index) =>
-          splitter.take(bytes.subarray(at[index], end))
+          splitter.push(bytes.subarray(at[index], end))
         );
         assert.equal(events.map(({ id }) => id), ["1", "2", undefined]);
         assert.is(Buffer.concat(events.map((e) => e.bytes)).toString(), text);
-        return !splitter.hasRest();
+        return !splitter.hasPartialEvent();
       },
     ),
     { seed: 1 },
   );
 });
 
-test("an event that is cut in two is held back", () => {
+test("an incomplete event is buffered", () => {
   const splitter = createEventSplitter();
-  assert.equal(splitter.take(Buffer.from("id: 1\ndata: a\n")), []);
-  assert.ok(splitter.hasRest());
+  assert.equal(splitter.push(Buffer.from("id: 1\ndata: a\n")), []);
+  assert.ok(splitter.hasPartialEvent());
 });
 
-test("the lease ends before a key taken away after the question must go", () => {
+test("the lease ends before a key revoked after its query must be rejected", () => {
   let nowMs = 0;
   const lease = createConfigLease({ revokeMs: 5_000, now: () => nowMs });
   assert.not.ok(lease.isValid());
@@ -45,13 +45,13 @@
   assert.ok(lease.isValid());
 });
 
-test("a version that is not in force here proves nothing", () => {
+test("a confirmation of a version that is not in force here does not renew the lease", () => {
   const lease = createConfigLease({ revokeMs: 5_000, now: () => 0 });
   lease.confirm({ sentMs: 0, version: 8, held: 7 });
   assert.not.ok(lease.isValid());
 });
 
-test("repeats of all gateways together keep to the bound", () => {
+test("the retries of all gateways together stay within the bound", () => {
   let nowMs = 0;
   const options = {
     ratio: 0.2,
@@ -65,7 +65,7 @@
   let spent = 0;
   while (budget.spend("s")) spent += 1;
   const bound = 0.2 * 50 + 110 / 11;
-  // It may have spent as much before a restart.
+  // Half the bound, as the gateway may have spent as much before a restart.
   assert.ok(spent > 0 && spent <= bound / 2, String(spent));
   assert.ok(budget.spend("other"));
   nowMs = 20_001;
@@ -75,7 +75,7 @@
   assert.ok(spent > bound / 2 && spent <= bound, String(spent));
 });
 
-test("a gateway that stops lets nothing in that may outlive its grace", () => {
+test("a stopping gateway admits no call that may outlast its grace period", () => {
   assert.ok(getLastCallMs(8_000) < 3_000);
   assert.is(getLastCallMs(1_000), 400);
 });
--- a/src/gateway/serve_plain_call.ts
+++ b/src/gateway/serve_plain_call.ts
@@ -1,5 +1,5 @@
 /**
- * Serves a call whose answer is passed on whole.
+ * Serves a call whose answer is forwarded once it is complete.
  *
  * @module
  */
@@ -30,28 +30,28 @@
 import { startCallExchange } from "./start_call_exchange.ts";
 import type { Call, ServingContext } from "./types.ts";
 
-/** Tries of one call, refused ones included. */
-const MAX_TRIES = 3;
+/** Maximum number of sends of one call, including the ones that an upstream rejects. */
+const MAX_SENDS = 3;
 
-/** Ms after which a caller may come again where no upstream took its call. */
+/** Retry delay, in ms, given to a caller whose call no upstream accepted. */
 const RETRY_AFTER_MS = 300;
 
-/** From this status on an upstream says that it failed itself. */
+/** Lowest HTTP status that reports a failure of the upstream itself. */
 const FIRST_SERVER_ERROR = 500;
 
-/** What one try came to. */
-interface TryEnd {
+/** Result of one send. */
+interface SendResult {
   readonly how: ExchangeEnd;
   readonly head: UpstreamHead | undefined;
   readonly body: Buffer;
 }
 
 /**
- * Serves a call; the answer is final when it returns to the caller, and a
- * call that must not be repeated is sent on only where it surely did not run.
+ * Serves a call. A call that must not run twice is sent again only if it certainly
+ * did not run.
  *
  * @param call - The call.
- * @param context - Engines, budget, connections.
+ * @param context - The engines, the retry budget and the connections.
  * @returns A promise that resolves once the call has ended.
  * @throws Nothing.
  * @example
@@ -68,35 +68,35 @@
     const excluded = new Set<string>();
     const payment = createTryPayment(() => context.budget.spend(service));
     const permit = createRunPermit(call, context);
-    let tries = 0;
-    let runs = 0;
-    let isLetIn = false;
+    let sendCount = 0;
+    let runCount = 0;
+    let isAdmitted = false;
     let exchange: Exchange | undefined;
     let sentMs = 0;
-    // Resolves once it is known whether the last run ended its upstream.
-    let endKnown = Promise.resolve();
+    // Resolves once it is known whether the upstream of the last run crashed.
+    let endChecked = Promise.resolve();
     const callEnd = createCallEnd({
       call,
       context,
-      describe: () => ({ tries, runs }),
+      describe: () => ({ tries: sendCount, runs: runCount }),
       onEnd(outcome) {
         exchange?.abort(outcome);
-        void endKnown.then(permit.noteRunEnd);
+        void endChecked.then(permit.noteRunEnd);
         resolve();
       },
-      onDeadline: finishTimedOut,
+      onDeadline: endAtDeadline,
     });
 
     const refusals = createLaterRefusals(call, context, {
       callEnd,
-      getProgress: () => ({ tries, runs }),
+      getProgress: () => ({ tries: sendCount, runs: runCount }),
     });
 
-    function finishTimedOut(): void {
-      // Nothing is sent any more; a try that is under way counts as a run.
-      tries = MAX_TRIES;
+    function endAtDeadline(): void {
+      // Prevents further sends; aborting the one in progress counts it as a run.
+      sendCount = MAX_SENDS;
       exchange?.abort("deadline");
-      if (runs > 0) callEnd.refuse({ status: 504, reason: "deadline" });
+      if (runCount > 0) callEnd.refuse({ status: 504, reason: "deadline" });
       callEnd.refuse({
         status: 503,
         reason: "not_taken",
@@ -106,21 +106,23 @@
 
     function next(): void {
       if (callEnd.hasEnded()) return;
-      // The timer of the deadline stands still while the machine is suspended.
-      if (now() >= call.deadlineMs) return finishTimedOut();
-      const permitted = permit.ask({ excluded });
-      if (permitted.type === "held") {
-        const hasRun = runs > 0;
-        return holdBack(call, context, { callEnd, held: permitted, hasRun });
+      // The deadline timer does not advance while the machine is suspended.
+      if (now() >= call.deadlineMs) return endAtDeadline();
+      const answer = permit.ask({ excluded });
+      if (answer.type === "held") {
+        const hasRun = runCount > 0;
+        return holdBack(call, context, { callEnd, held: answer, hasRun });
       }
-      if (permitted.type === "wait") return waitForPermit();
-      const { trialEngineId } = permitted;
-      const retryAfterMs = isLetIn ? undefined : admitCall(call, context);
+      if (answer.type === "wait") return waitForPermit();
+      const { trialEngineId } = answer;
+      const retryAfterMs = isAdmitted ? undefined : admitCall(call, context);
       if (retryAfterMs !== undefined) {
         return refusals.refuseForBackOff(retryAfterMs);
       }
-      isLetIn = true;
-      const engine = tries < MAX_TRIES ? choose(trialEngineId) : undefined;
+      isAdmitted = true;
+      const engine = sendCount < MAX_SENDS
+        ? chooseUpstream(trialEngineId)
+        : undefined;
       if (!engine) return giveUp();
       const { engineId } = engine.record;
       const grant = context.rateLimits.take(engineId);
@@ -129,11 +131,11 @@
         grant.giveBack();
         return giveUp();
       }
-      tries += 1;
+      sendCount += 1;
       send(engine, grant);
     }
 
-    function goOn(): void {
+    function retry(): void {
       permit.noteRunEnd();
       next();
     }
@@ -142,8 +144,8 @@
       setTimeout(next, PERMIT_POLL_MS);
     }
 
-    // Suspected requests begin apart from each other, as far as that goes.
-    function choose(trialEngineId?: string): EngineView | undefined {
+    // Requests suspected of crashing upstreams start on different upstreams if possible.
+    function chooseUpstream(trialEngineId?: string): EngineView | undefined {
       if (trialEngineId !== undefined) {
         return chooseAmong((id) => id === trialEngineId);
       }
@@ -171,7 +173,7 @@
     }
 
     function giveUp(): void {
-      if (runs > 0) {
+      if (runCount > 0) {
         return callEnd.refuse({ status: 502, reason: "outcome_unknown" });
       }
       const { notices } = context;
@@ -205,8 +207,8 @@
         engineId,
         backOffLeftMs,
         limitPerS: context.rateLimits.getLimitPerS(engineId),
-        tries,
-        runs,
+        tries: sendCount,
+        runs: runCount,
       });
       sentMs = now();
       exchange = startCallExchange(call, context, {
@@ -214,27 +216,30 @@
         path: [],
         grant,
         lastEventId: request.lastEventId,
-        onHead: (told) => {
-          head = told;
+        onHead: (receivedHead) => {
+          head = receivedHead;
         },
         onData: (chunk) => void chunks.push(chunk),
         onEnd: (how) => {
           engine.inFlight -= 1;
           if (callEnd.hasEnded()) return;
-          take(engine, { how, head, body: Buffer.concat(chunks) });
+          handleResult(engine, { how, head, body: Buffer.concat(chunks) });
         },
       });
     }
 
-    function take(engine: EngineView, { how, head, body }: TryEnd): void {
+    function handleResult(
+      engine: EngineView,
+      { how, head, body }: SendResult,
+    ): void {
       const { engineId } = engine.record;
-      if (how.type === "withheld") return takeWithheld(engineId);
+      if (how.type === "withheld") return handleWithheld(engineId);
       payment.noteEnd({ wasSent: how.type !== "notSent" });
       excluded.add(engineId);
       if (how.type === "notSent") {
         metrics.countRetry("connect_failed");
         engines.suspect(engineId, how.reason);
-        return goOn();
+        return retry();
       }
       if (head?.load !== undefined) engine.toldLoad = head.load;
       if (how.type === "complete" && head?.saysNotRun) {
@@ -248,30 +253,32 @@
           tookMs,
           backOffMs,
         });
-        if (status === 421) engines.suspect(engineId, "other upstream");
+        if (status === 421) engines.suspect(engineId, "misdirected request");
         if (backOffMs !== undefined) noteBackOff(call, context);
-        return goOn();
+        return retry();
       }
-      runs += 1;
+      runCount += 1;
       const tookMs = now() - sentMs;
       context.usualTimes.noteAnswer(service, { tookMs });
-      const isWhole = how.type === "complete" && head !== undefined &&
+      const isComplete = how.type === "complete" && head !== undefined &&
         (head.isSigned || head.status >= 300);
-      const failed = !isWhole || head.status >= FIRST_SERVER_ERROR;
+      const failed = !isComplete || head.status >= FIRST_SERVER_ERROR;
       engines.noteAnswer(engineId, { failed });
       if (how.type === "broken") engines.suspect(engineId, how.reason);
       else context.quarantine.noteProved(call.requestKey);
-      endKnown = findEnd(engine, how);
-      const mayRepeat = route.repeatability !== "once" &&
-        runs < route.maxAttempts && now() < call.deadlineMs;
-      if (failed && mayRepeat) {
-        const wasCut = how.type === "broken";
-        metrics.countRetry(wasCut ? "reset_before_answer" : "upstream_error");
-        return void endKnown.then(goOn);
+      endChecked = checkUpstreamEnd(engine, how);
+      const mayRetry = route.repeatability !== "once" &&
+        runCount < route.maxAttempts && now() < call.deadlineMs;
+      if (failed && mayRetry) {
+        const wasBroken = how.type === "broken";
+        metrics.countRetry(
+          wasBroken ? "reset_before_answer" : "upstream_error",
+        );
+        return void endChecked.then(retry);
       }
-      if (isWhole) {
+      if (isComplete) {
         context.throttle.noteServed(service);
-        return callEnd.passOn(head, body);
+        return callEnd.forwardAnswer(head, body);
       }
       const isLate = now() >= call.deadlineMs;
       callEnd.refuse(
@@ -281,13 +288,13 @@
       );
     }
 
-    function takeWithheld(engineId: string): void {
-      tries -= 1;
+    function handleWithheld(engineId: string): void {
+      sendCount -= 1;
       noteWithheld(call, context, engineId);
-      goOn();
+      retry();
     }
 
-    async function findEnd(
+    async function checkUpstreamEnd(
       { record: upstream }: EngineView,
       how: ExchangeEnd,
     ): Promise<void> {
--- a/src/gateway/serve_stream_call.ts
+++ b/src/gateway/serve_stream_call.ts
@@ -17,7 +17,7 @@
   PERMIT_POLL_MS,
 } from "./create_run_permit.ts";
 import { createRunRecord } from "./create_run_record.ts";
-import { createRunMover } from "./create_run_mover.ts";
+import { createRunMigrator } from "./create_run_migrator.ts";
 import { REFUSES_CONNECTIONS } from "./create_run_watch.ts";
 import { createSendWaits } from "./create_send_waits.ts";
 import { createTryPayment } from "./create_try_payment.ts";
@@ -41,18 +41,18 @@
 import { takeRefusal } from "./take_refusal.ts";
 import type { Call, ServingContext } from "./types.ts";
 
-/** Sends of one call, refused ones included. */
-const MAX_TRIES = 5;
+/** Maximum number of sends of one call, including the ones that an upstream rejects. */
+const MAX_SENDS = 5;
 
-/** Ms after which a caller may come again where no upstream took its call. */
+/** Retry delay, in ms, given to a caller whose call no upstream accepted. */
 const RETRY_AFTER_MS = 500;
 
 /**
- * Serves a call: passes whole events on as they come, moves the path off
- * engines that stand still, goes on elsewhere where the stream breaks.
+ * Serves a call: forwards complete events as they arrive, moves the path off
+ * stalled engines, and resumes the stream on other engines when it breaks.
  *
  * @param call - The call.
- * @param context - Engines, budget, connections.
+ * @param context - The engines, the retry budget and the connections.
  * @returns A promise that resolves once the call has ended.
  * @throws Nothing.
  * @example
@@ -75,12 +75,12 @@
       endCheck: context.endCheck,
     });
     const payment = createTryPayment(() => context.budget.spend(service));
-    let tries = 0;
-    let runs = 0;
-    let isLetIn = request.lastEventId !== undefined;
+    let sendCount = 0;
+    let runCount = 0;
+    let isAdmitted = request.lastEventId !== undefined;
     let isRunProved = false;
-    // Resolves once it is known whether the last run ended its upstream.
-    let endKnown = Promise.resolve();
+    // Resolves once it is known whether the upstream of the last run crashed.
+    let endChecked = Promise.resolve();
     let run: StreamRun | undefined;
 
     const tokens = getCallTokens(call, model);
@@ -88,16 +88,16 @@
       response,
       lastEventId: request.lastEventId,
       onPause: (pauseMs) =>
-        context.pauses.notePause({
+        context.pauses.recordPause({
           pauseMs,
-          bearableMs: route.gapObjectiveMs,
+          toleratedMs: route.gapObjectiveMs,
           path: run?.path ?? [],
         }),
       onFirstEvent: () =>
         metrics.timing("requests.first_token_ms", now() - call.startedMs),
       now,
     });
-    let unwatch = () => {};
+    let stopMonitoring = () => {};
     const roomWait = createRoomWait(call, context);
     const permit = createRunPermit(call, context);
     const waits = createSendWaits({
@@ -112,21 +112,21 @@
       context,
       describe,
       onEnd(outcome) {
-        unwatch();
+        stopMonitoring();
         roomWait.end();
-        if (run) noteLeft(run);
+        if (run) recordAbandonedRun(run);
         run?.abort(outcome);
-        void endKnown.then(permit.noteRunEnd);
+        void endChecked.then(permit.noteRunEnd);
         resolve();
       },
-      onDeadline: finishTimedOut,
+      onDeadline: endAtDeadline,
     });
 
     const refusals = createLaterRefusals(call, context, {
       callEnd,
-      getProgress: () => ({ tries, runs }),
+      getProgress: () => ({ tries: sendCount, runs: runCount }),
     });
-    const mover = createRunMover(call, context, {
+    const migrator = createRunMigrator(call, context, {
       relay,
       excluded,
       isCurrent: (sent) => run === sent && !callEnd.hasEnded(),
@@ -135,17 +135,17 @@
     function describe() {
       const { events, firstEventMs, longestPauseMs } = relay.getProgress();
       return {
-        tries,
-        runs,
+        tries: sendCount,
+        runs: runCount,
         events,
         firstEventMs: firstEventMs && Math.round(firstEventMs - call.startedMs),
         longestGapMs: Math.round(longestPauseMs),
       };
     }
 
-    function finishTimedOut(): void {
-      // What was sent may run, even where no answer has begun.
-      const mayHaveRun = runs > 0 || run !== undefined;
+    function endAtDeadline(): void {
+      // A request that was sent may be running even if no answer has started.
+      const mayHaveRun = runCount > 0 || run !== undefined;
       if (mayHaveRun) {
         return callEnd.refuse({ status: 504, reason: "deadline" });
       }
@@ -158,18 +158,18 @@
 
     function next(): void {
       if (callEnd.hasEnded()) return;
-      // The timer of the deadline stands still while the machine is suspended.
-      if (now() >= call.deadlineMs) return finishTimedOut();
-      if (tries >= MAX_TRIES) return giveUp("too many tries");
+      // The deadline timer does not advance while the machine is suspended.
+      if (now() >= call.deadlineMs) return endAtDeadline();
+      if (sendCount >= MAX_SENDS) return giveUp("too many tries");
       const answer = permit.ask({ excluded });
       if (answer.type === "held") return endHeld(answer);
       if (answer.type === "wait") return void setTimeout(next, PERMIT_POLL_MS);
-      const retryAfterMs = isLetIn ? undefined : admitCall(call, context);
+      const retryAfterMs = isAdmitted ? undefined : admitCall(call, context);
       if (retryAfterMs !== undefined) {
         return refusals.refuseForBackOff(retryAfterMs);
       }
-      isLetIn = true;
-      const isNew = runs === 0 && request.lastEventId === undefined;
+      isAdmitted = true;
+      const isNew = runCount === 0 && request.lastEventId === undefined;
       if (isNew && !roomWait.isFirst()) return waits.waitForRoom();
       const choice = chooseRunPath(call, context, {
         excluded,
@@ -189,24 +189,24 @@
         return waits.waitForRepeats();
       }
       waits.noteSent();
-      tries += 1;
+      sendCount += 1;
       send(path, grant);
     }
 
-    // Engines that were left out for this call may be back by then.
+    // Engines that were excluded for this call may be usable again after the wait.
     function waitForPath(): void {
       waits.waitForPath({ onWait: () => excluded.clear() });
     }
 
-    // Nobody can take it before the first back-off ends: a caller that has nothing of
-    // it yet is told so at once, in place of being kept for it.
+    // No engine can accept the call before the first back-off ends. A caller that has
+    // received nothing yet is rejected at once instead of being kept waiting.
     function waitForBackOff(leftMs: number): void {
-      if (response.headersSent || runs > 0) return waitUntilUsable(leftMs);
+      if (response.headersSent || runCount > 0) return waitUntilUsable(leftMs);
       refusals.refuseForBackOff(spreadReturnMs(leftMs, context.random()));
     }
 
     function waitForLimit(leftMs: number): void {
-      if (response.headersSent || runs > 0) return waitUntilUsable(leftMs);
+      if (response.headersSent || runCount > 0) return waitUntilUsable(leftMs);
       refusals.refuseForLimit(leftMs);
     }
 
@@ -215,19 +215,24 @@
       waits.waitForPath({ onWait, leftMs });
     }
 
-    function goOn(): void {
+    function retry(): void {
       permit.noteRunEnd();
       next();
     }
 
     function endHeld(held: HeldAnswer): void {
-      const hasRun = response.headersSent || runs > 0;
+      const hasRun = response.headersSent || runCount > 0;
       holdBack(call, context, { callEnd, held, hasRun });
     }
 
     function giveUp(reason: string): void {
-      log("callGivenUp", { requestId, reason, tries, runs });
-      if (response.headersSent || runs > 0) {
+      log("callGivenUp", {
+        requestId,
+        reason,
+        tries: sendCount,
+        runs: runCount,
+      });
+      if (response.headersSent || runCount > 0) {
         return callEnd.refuse({ status: 502, reason: "outcome_unknown" });
       }
       callEnd.refuse({
@@ -247,10 +252,10 @@
         path: path.map((part) => `${part.engineId}:${part.toLayer}`).join(),
         backOffLeftMs: getBackOffLeftMs(path),
         limitPerS: context.rateLimits.getLimitPerS(path[0].engineId),
-        tries,
+        tries: sendCount,
         lastEventId,
       });
-      relay.restart();
+      relay.restartSilence();
       permit.noteSent(path[0].engineId);
       run = startStreamRun(call, context, {
         path,
@@ -258,67 +263,67 @@
         grant,
         tokens,
         lastEventId,
-        onHead: takeHead,
+        onHead: handleHead,
         onEvent(sent, event) {
-          noteProof(sent);
-          if (!callEnd.hasEnded() && !relay.pass(event)) waitForCaller(sent);
+          recordProof(sent);
+          if (!callEnd.hasEnded() && !relay.forward(event)) awaitDrain(sent);
         },
         onEnd(sent, end) {
-          if (run === sent) unwatch();
+          if (run === sent) stopMonitoring();
           if (callEnd.hasEnded() || run !== sent) return;
           run = undefined;
-          takeEnd(sent, end);
+          handleRunEnd(sent, end);
         },
       });
-      watch(run);
+      monitor(run);
     }
 
-    // Of the engine of the path that is backed off for longest.
+    // The longest remaining back-off of the engines on the path.
     function getBackOffLeftMs(path: readonly AddressedPart[]): number {
-      const backOffsMs = path.map(({ engineId }) =>
+      const backOffsLeftMs = path.map(({ engineId }) =>
         context.notices.getBackOffLeftMs(engineId)
       );
-      return Math.round(Math.max(...backOffsMs));
+      return Math.round(Math.max(...backOffsLeftMs));
     }
 
-    // It may have ended its engine already: the news is still on its way.
-    function noteLeft({ path, firstEventMs }: StreamRun): void {
+    // The request may already have crashed its engine without this gateway knowing yet.
+    function recordAbandonedRun({ path, firstEventMs }: StreamRun): void {
       if (!hasJustBegun({ firstEventMs }, now())) return;
       const { requestKey } = call;
       context.leftRuns.note({ requestKey, engineId: path[0].engineId });
     }
 
-    function noteProof(sent: StreamRun): void {
+    function recordProof(sent: StreamRun): void {
       if (isRunProved || !isProved(sent, now())) return;
       isRunProved = true;
       context.quarantine.noteProved(call.requestKey);
     }
 
-    function watch(sent: StreamRun): void {
-      unwatch();
-      // Only what may go on elsewhere can leave an engine.
+    function monitor(sent: StreamRun): void {
+      stopMonitoring();
+      // Only a resumable stream can be moved off an engine.
       if (!isResumable) return;
-      unwatch = context.runWatch.add({
-        isOverParts: model !== undefined,
+      stopMonitoring = context.runWatch.add({
+        isLayered: model !== undefined,
         getPath: () => sent.path,
         hasBegun: () => sent.hasBegun,
         getSilenceMs: relay.getSilenceMs,
         getUsualPauseMs: relay.getUsualPauseMs,
-        checkStall: () => mover.checkStall(sent),
-        checkLeaving: () => mover.checkLeaving(sent),
+        checkStall: () => migrator.checkStall(sent),
+        checkLeaving: () => migrator.checkLeaving(sent),
         leave(engineId, reason) {
           excluded.add(engineId);
-          void mover.leaveLost(sent, { engineId, reason });
+          void migrator.leaveFailedEngine(sent, { engineId, reason });
         },
       });
     }
 
-    function waitForCaller(sent: StreamRun): void {
+    function awaitDrain(sent: StreamRun): void {
       sent.pause();
       response.once("drain", sent.resume);
     }
 
-    function takeHead({ head, isStream }: StreamRun): void {
+    function handleHead({ head, isStream }: StreamRun): void {
       if (!head || !isStream || response.headersSent) return;
       if (callEnd.hasEnded()) return;
       response.writeHead(200, [
@@ -328,28 +333,28 @@
       response.flushHeaders();
     }
 
-    function takeEnd(
+    function handleRunEnd(
       sent: StreamRun,
       { how, isCut, body }: StreamRunEnd,
     ): void {
       const [{ engineId }] = sent.path;
       const { head } = sent;
-      const blamedId = sent.lostEngineId ?? engineId;
-      if (how.type === "withheld") return takeWithheld(engineId);
+      const faultyEngineId = sent.failedEngineId ?? engineId;
+      if (how.type === "withheld") return handleWithheld(engineId);
       payment.noteEnd({ wasSent: how.type !== "notSent" });
       if (how.type === "notSent") {
         metrics.countRetry("connect_failed");
-        engines.suspect(blamedId, how.reason);
-        return goOn();
+        engines.suspect(faultyEngineId, how.reason);
+        return retry();
       }
       if (how.type === "complete" && head?.saysNotRun) {
-        return takeNotRun(sent, head);
+        return handleNotRun(sent, head);
       }
-      runs += 1;
+      runCount += 1;
       runRecord.note(sent.path[0]);
-      const isWhole = how.type === "complete" && sent.isStream && !isCut;
-      engines.noteAnswer(blamedId, { failed: !isWhole });
-      if (isWhole) {
+      const isComplete = how.type === "complete" && sent.isStream && !isCut;
+      engines.noteAnswer(faultyEngineId, { failed: !isComplete });
+      if (isComplete) {
         context.endRate.noteEnd({ tookMs: now() - call.startedMs });
         context.rates.noteEnded(service);
         context.throttle.noteServed(service);
@@ -357,51 +362,51 @@
         response.end();
         return callEnd.end("answered");
       }
-      takeBroken(sent, how);
-      endKnown = findEnd(sent, how);
-      if (isResumable) void goOnElsewhere(sent, { how, body });
-      else endBroken(sent, { how, body });
+      handleBroken(sent, how);
+      endChecked = checkUpstreamEnd(sent, how);
+      if (isResumable) void resumeElsewhere(sent, { how, body });
+      else failBroken(sent, { how, body });
     }
 
-    // An upstream that has ended doesn't count as one that ran it. One whose connection
-    // broke may be well, and so may one that left without draining.
-    async function goOnElsewhere(
+    // An upstream that has crashed does not count against maxAttempts. A broken
+    // connection proves no crash, nor does an upstream that left without draining.
+    async function resumeElsewhere(
       sent: StreamRun,
       end: Pick<StreamRunEnd, "how" | "body">,
     ): Promise<void> {
-      await endKnown;
+      await endChecked;
       if (!runRecord.mayRunElsewhere()) await runRecord.checkEnds();
       if (callEnd.hasEnded()) return;
       if (runRecord.mayRunElsewhere()) {
         metrics.count("streams.resumed");
-        return goOn();
+        return retry();
       }
       const { maxAttempts } = route;
       log("runsSpent", { requestId, maxAttempts, ranOn: runRecord.describe() });
-      endBroken(sent, end);
+      failBroken(sent, end);
     }
 
-    function endBroken(
+    function failBroken(
       { head }: StreamRun,
       { how, body }: Pick<StreamRunEnd, "how" | "body">,
     ): void {
-      const isOwnFailure = how.type === "complete" && head !== undefined &&
+      const isUpstreamError = how.type === "complete" && head !== undefined &&
         head.status >= 300 && !response.headersSent;
-      if (isOwnFailure) return callEnd.passOn(head, body);
+      if (isUpstreamError) return callEnd.forwardAnswer(head, body);
       callEnd.refuse({ status: 502, reason: "answer_broken" });
     }
 
-    function takeWithheld(engineId: string): void {
-      tries -= 1;
+    function handleWithheld(engineId: string): void {
+      sendCount -= 1;
       noteWithheld(call, context, engineId);
-      goOn();
+      retry();
     }
 
-    function takeBroken(sent: StreamRun, how: ExchangeEnd): void {
-      const engineId = sent.lostEngineId ?? sent.path[0].engineId;
+    function handleBroken(sent: StreamRun, how: ExchangeEnd): void {
+      const engineId = sent.failedEngineId ?? sent.path[0].engineId;
       const reason = how.type === "broken" ? how.reason : undefined;
-      // An engine that has given events is there: it cuts single streams off
-      // where an engine after it ran out of room or was lost.
+      // An engine that has sent events is reachable: it cuts a single stream off
+      // when an engine after it on the path ran out of capacity or failed.
       if (reason !== undefined && !sent.hasBegun) {
         engines.suspect(engineId, reason);
       }
@@ -414,25 +419,29 @@
         reason,
         status: sent.head?.status,
         lastEventId: relay.getProgress().lastEventId,
-        runs,
+        runs: runCount,
       });
     }
 
-    // What was left because it was silent may be dark or cut off: that proves nothing.
-    async function findEnd(sent: StreamRun, how: ExchangeEnd): Promise<void> {
-      const isSilent = sent.wasLeft && how.type === "broken" &&
+    // An engine that was left because it was unresponsive may only be unreachable from
+    // here, which does not prove a crash.
+    async function checkUpstreamEnd(
+      sent: StreamRun,
+      how: ExchangeEnd,
+    ): Promise<void> {
+      const wasUnresponsive = sent.wasAborted && how.type === "broken" &&
         how.reason !== REFUSES_CONNECTIONS;
-      if (isSilent) return;
-      const { path, lostEngineId, sentMs, firstEventMs } = sent;
-      const lost = path.find((part) => part.engineId === lostEngineId);
-      const upstream = lost ?? path[0];
+      if (wasUnresponsive) return;
+      const { path, failedEngineId: lostEngineId, sentMs, firstEventMs } = sent;
+      const failedPart = path.find((part) => part.engineId === lostEngineId);
+      const upstream = failedPart ?? path[0];
       await findUpstreamEnd(call, context, { upstream, sentMs, firstEventMs });
     }
 
-    function takeNotRun(sent: StreamRun, head: UpstreamHead): void {
+    function handleNotRun(sent: StreamRun, head: UpstreamHead): void {
       excluded.add(takeRefusal(call, context, { sent, head }));
       metrics.countRetry("upstream_refused");
-      goOn();
+      retry();
     }
 
     next();
--- a/src/gateway/split_events.ts
+++ b/src/gateway/split_events.ts
@@ -1,58 +1,60 @@
 /**
- * Cuts a stream of events into whole events.
+ * Splits the bytes of an event stream into complete events.
  *
  * @module
  */
 
 import { Buffer } from "node:buffer";
 
-/** A whole event as it came, with its id. */
+/** The unchanged bytes of a complete event, with its id. */
 export interface StreamEvent {
   readonly bytes: Buffer;
-  /** Undefined where the event has none. */
+  /** Undefined if the event has no id. */
   readonly id: string | undefined;
 }
 
-/** Cuts a stream into events. */
+/** Splits a byte stream into events. */
 export interface EventSplitter {
-  /** Takes bytes; returns the events that are whole now. */
-  take(chunk: Buffer): StreamEvent[];
-  /** Whether the last event is still cut in two. */
-  hasRest(): boolean;
+  /** Adds a chunk of bytes, and returns the events that are complete now. */
+  push(chunk: Buffer): StreamEvent[];
+  /** Whether bytes of an incomplete event are buffered. */
+  hasPartialEvent(): boolean;
 }
 
 const LINE_FEED = 0x0a;
 const CARRIAGE_RETURN = 0x0d;
 
 /**
- * Makes a splitter; an event ends with an empty line.
+ * Creates a splitter. An event ends with an empty line.
  *
  * @returns The splitter.
  * @throws Nothing.
  * @example
- * const events = createEventSplitter().take(chunk);
+ * const events = createEventSplitter().push(chunk);
  */
 export function createEventSplitter(): EventSplitter {
-  let rest: Buffer = Buffer.alloc(0);
+  let partialEvent: Buffer = Buffer.alloc(0);
   return {
-    take(chunk) {
-      const bytes = rest.length === 0 ? chunk : Buffer.concat([rest, chunk]);
+    push(chunk) {
+      const bytes = partialEvent.length === 0
+        ? chunk
+        : Buffer.concat([partialEvent, chunk]);
       const events: StreamEvent[] = [];
       let start = 0;
       let lineStart = 0;
-      for (let at = 0; at < bytes.length; at++) {
-        if (bytes[at] !== LINE_FEED) continue;
-        const isEmpty = at === lineStart ||
-          (at === lineStart + 1 && bytes[lineStart] === CARRIAGE_RETURN);
-        lineStart = at + 1;
+      for (let index = 0; index < bytes.length; index++) {
+        if (bytes[index] !== LINE_FEED) continue;
+        const isEmpty = index === lineStart ||
+          (index === lineStart + 1 && bytes[lineStart] === CARRIAGE_RETURN);
+        lineStart = index + 1;
         if (!isEmpty) continue;
-        events.push(readEvent(bytes.subarray(start, at + 1)));
-        start = at + 1;
+        events.push(readEvent(bytes.subarray(start, index + 1)));
+        start = index + 1;
       }
-      rest = bytes.subarray(start);
+      partialEvent = bytes.subarray(start);
       return events;
     },
-    hasRest: () => rest.length > 0,
+    hasPartialEvent: () => partialEvent.length > 0,
   };
 }
 
--- a/src/gateway/start_call_exchange.ts
+++ b/src/gateway/start_call_exchange.ts
@@ -9,27 +9,27 @@
 import type { AddressedPart } from "./protocol.ts";
 import type { Call, ServingContext } from "./types.ts";
 
-/** Where a call is sent, and who hears of the answer. */
+/** Options of {@link startCallExchange}: the upstream, and callbacks for the answer. */
 export interface StartCallExchangeOptions
   extends Pick<ExchangeOptions, "onHead" | "onData" | "onEnd"> {
-  /** Upstream that takes it: the first of the path where there is one. */
+  /** Upstream to send to: the first engine of the path if there is one. */
   readonly engine: Pick<AddressedPart, "engineId" | "address">;
-  /** Parts of a layered model; none where one upstream has all. */
+  /** Path over the parts of a layered model; empty if one upstream serves alone. */
   readonly path: readonly AddressedPart[];
-  /** Leave to send to the upstream; given back where nothing is sent. */
+  /** Rate-limit grant to send to the upstream; returned if nothing is sent. */
   readonly grant: SendGrant;
-  /** Event after which the answer is to go on. */
+  /** Id of the event after which the answer resumes. */
   readonly lastEventId: string | undefined;
 }
 
 /**
- * Sends a call with all that an upstream is told of it; the deadline that is
- * passed on is what is left of the call's.
+ * Sends a call with the headers that the upstream needs. The deadline in them is the
+ * time that the call has left.
  *
  * @param call - The call.
- * @param context - The codec, the connections and the time.
- * @param options - The upstream, and who hears of the answer.
- * @returns The exchange under way.
+ * @param context - The codec, the connections and the clock.
+ * @param options - The upstream, and callbacks for the answer.
+ * @returns The exchange in progress.
  * @throws Nothing.
  * @example
  * const exchange = startCallExchange(call, context, options);
@@ -43,19 +43,20 @@
   const { notices, rateLimits } = context;
   const { engine, path, grant, lastEventId, onData } = options;
   const { engineId, address } = engine;
-  const endSend = notices.beginSend(engineId);
-  // Its own send may be the one that fills what an upstream takes at first after a back-off.
-  const mayReach = (one: string) =>
+  const reportSendEnd = notices.beginSend(engineId);
+  // Checks only for a back-off in force. Right after one an upstream accepts few
+  // requests, and this send, which is already counted, may use up that number.
+  const mayReceive = (one: string) =>
     notices.getBackOffLeftMs(one) === 0 && !notices.isLeaving(one);
   const sentMs = context.now();
-  const leftMs = Math.floor(call.deadlineMs - sentMs);
+  const remainingMs = Math.floor(call.deadlineMs - sentMs);
   return context.exchanger.start({
     engineId,
     address,
     method: request.method,
     target: request.target,
     headers: context.codec.formatUpstreamHeaders(request, {
-      deadlineMs: Math.max(1, leftMs),
+      deadlineMs: Math.max(1, remainingMs),
       engineId,
       account: account?.name,
       lastEventId,
@@ -63,21 +64,21 @@
     }),
     body,
     requestId: request.requestId,
-    mayLeave: () =>
+    maySend: () =>
       grant.isValid() &&
-      [engine, ...path].every((one) => mayReach(one.engineId)),
+      [engine, ...path].every((one) => mayReceive(one.engineId)),
     onHead(head) {
       const { limitPerS } = head;
-      // A refusal may come from what stands before the engine and knows no limit.
+      // A rejection may come from a proxy in front of the engine, which knows no limit.
       if (limitPerS !== undefined && !head.saysNotRun) {
         rateLimits.takeAnswer(engineId, { limitPerS, sentMs });
       }
-      endSend({ isTaken: !head.saysNotRun });
+      reportSendEnd({ isTaken: !head.saysNotRun });
       options.onHead(head);
     },
     onData,
     onEnd(end) {
-      endSend({ isTaken: false });
+      reportSendEnd({ isTaken: false });
       if (end.type === "notSent" || end.type === "withheld") grant.giveBack();
       options.onEnd(end);
     },
--- a/src/gateway/start_stream_run.ts
+++ b/src/gateway/start_stream_run.ts
@@ -1,5 +1,5 @@
 /**
- * One send of a stream's request: its path, its answer, how it ends.
+ * One run of a stream's request: the path it is sent over, the answer, and the outcome.
  *
  * @module
  */
@@ -12,24 +12,24 @@
 import { startCallExchange } from "./start_call_exchange.ts";
 import type { Call, ServingContext } from "./types.ts";
 
-/** One send of a call. */
+/** One run of a streaming call over a path of engines. */
 export interface StreamRun {
   readonly path: readonly AddressedPart[];
   readonly sentMs: number;
-  /** Engine of the path that was found to be lost. */
-  readonly lostEngineId: string | undefined;
-  /** Whether this gateway ended it by itself. */
-  readonly wasLeft: boolean;
+  /** Engine of the path that was found to have failed. */
+  readonly failedEngineId: string | undefined;
+  /** Whether this gateway aborted the run. */
+  readonly wasAborted: boolean;
   readonly head: UpstreamHead | undefined;
-  /** Whether its answer is a stream that may be passed on. */
+  /** Whether the answer is a stream that may be forwarded to the caller. */
   readonly isStream: boolean;
-  /** Whether it has given an event. */
+  /** Whether an event has arrived. */
   readonly hasBegun: boolean;
-  /** When its first event came, in ms. */
+  /** Time, in ms, at which the first event arrived. */
   readonly firstEventMs: number | undefined;
-  /** Notes that it goes on over another path with the same first part. */
-  move(path: readonly AddressedPart[]): void;
-  /** Ends it because an engine of its path is lost. */
+  /** Records that the run continues over another path that has the same first part. */
+  switchPath(path: readonly AddressedPart[]): void;
+  /** Aborts the run because an engine of its path has failed. */
   leave(engineId: string, reason: string): void;
   abort(reason: string): void;
   pause(): void;
@@ -39,22 +39,22 @@
 /** How a run ended. */
 export interface StreamRunEnd {
   readonly how: ExchangeEnd;
-  /** Whether it ended in the middle of an event. */
+  /** Whether the stream ended in the middle of an event. */
   readonly isCut: boolean;
-  /** What came of an answer that is no stream. */
+  /** Body received of an answer that is not a stream. */
   readonly body: Buffer;
 }
 
-/** What is sent, and who hears of the answer. */
+/** Options of {@link startStreamRun}: what is sent, and callbacks for the answer. */
 export interface StartStreamRunOptions {
   readonly path: readonly AddressedPart[];
-  /** Whether the engines are told the path. */
+  /** Whether the path is sent to the engines. */
   readonly isLayered: boolean;
-  /** Leave to send to the first engine. */
+  /** Rate-limit grant to send to the first engine. */
   readonly grant: SendGrant;
-  /** Tokens that it will take on each engine. */
+  /** Tokens that the call will occupy on each engine. */
   readonly tokens: number;
-  /** Event after which the answer is to go on. */
+  /** Id of the event after which the answer resumes. */
   readonly lastEventId: string | undefined;
   readonly onHead: (run: StreamRun) => void;
   readonly onEvent: (run: StreamRun, event: StreamEvent) => void;
@@ -62,12 +62,13 @@
 }
 
 /**
- * Sends a call over a path; its work counts on the engines until it ends.
+ * Sends a call over a path. The call counts towards the load of the path's engines
+ * until the run ends.
  *
  * @param call - The call.
- * @param context - Engines and connections.
- * @param options - The path, and who hears of the answer.
- * @returns The run.
+ * @param context - The engines and the connections.
+ * @param options - The path, and callbacks for the answer.
+ * @returns The run in progress.
  * @throws Nothing.
  * @example
  * const run = startStreamRun(call, context, options);
@@ -81,33 +82,33 @@
   const { tokens } = options;
   let { path } = options;
   let head: UpstreamHead | undefined;
-  let lostEngineId: string | undefined;
-  let wasLeft = false;
+  let failedEngineId: string | undefined;
+  let wasAborted = false;
   let firstEventMs: number | undefined;
   const isStream = () => head?.status === 200 && head.isSigned;
   const splitter = createEventSplitter();
   const chunks: Buffer[] = [];
   engines.addWork(path, { tokens });
-  const endPrompt = engines.beginPrompt(path);
+  const endPromptWork = engines.beginPrompt(path);
 
-  function takeData(chunk: Buffer): void {
+  function handleData(chunk: Buffer): void {
     if (!isStream()) return void chunks.push(chunk);
-    for (const event of splitter.take(chunk)) {
+    for (const event of splitter.push(chunk)) {
       firstEventMs ??= now();
-      endPrompt();
+      endPromptWork();
       options.onEvent(run, event);
     }
   }
 
-  function takeEnd(how: ExchangeEnd): void {
+  function handleEnd(how: ExchangeEnd): void {
     engines.removeWork(path, { tokens });
-    endPrompt();
+    endPromptWork();
     const body = Buffer.concat(chunks);
-    options.onEnd(run, { how, isCut: splitter.hasRest(), body });
+    options.onEnd(run, { how, isCut: splitter.hasPartialEvent(), body });
   }
 
   function abort(reason: string): void {
-    wasLeft = true;
+    wasAborted = true;
     exchange.abort(reason);
   }
 
@@ -116,12 +117,12 @@
     path: options.isLayered ? path : [],
     grant: options.grant,
     lastEventId: options.lastEventId,
-    onHead(told) {
-      head = told;
+    onHead(receivedHead) {
+      head = receivedHead;
       options.onHead(run);
     },
-    onData: takeData,
-    onEnd: takeEnd,
+    onData: handleData,
+    onEnd: handleEnd,
   });
 
   const run: StreamRun = {
@@ -129,11 +130,11 @@
       return path;
     },
     sentMs: now(),
-    get lostEngineId() {
-      return lostEngineId;
+    get failedEngineId() {
+      return failedEngineId;
     },
-    get wasLeft() {
-      return wasLeft;
+    get wasAborted() {
+      return wasAborted;
     },
     get head() {
       return head;
@@ -147,13 +148,13 @@
     get firstEventMs() {
       return firstEventMs;
     },
-    move(next) {
+    switchPath(newPath) {
       engines.removeWork(path, { tokens });
-      path = next;
+      path = newPath;
       engines.addWork(path, { tokens });
     },
-    leave(lostId, reason) {
-      lostEngineId = lostId;
+    leave(failedId, reason) {
+      failedEngineId = failedId;
       abort(reason);
     },
     abort,
