--- a/src/layers/choose_redistribution.ts
+++ b/src/layers/choose_redistribution.ts
@@ -6,7 +6,7 @@
 
 import { listHolders } from "./_lib/list_holders.ts";
 import { makeCover } from "./layer_cover.ts";
-import { findTokensInFlight } from "./token_room.ts";
+import { findTokensInFlight } from "./token_capacity.ts";
 import type { LayerEngine, LayerFigures, LayerOrder } from "./types.ts";
 
 /** Engines that together hold one or more complete copies of a model. */
@@ -31,7 +31,7 @@
  */
 export type SpreadCover = "others" | "lost" | "none";
 
-/** Decides whether to redistribute a group with a gap that no single move can fill. */
+/** Decides whether to redistribute a group with a gap that no move of an engine can fill. */
 export type MayRedistribute = (
   place: string,
   options: { readonly cover: SpreadCover },
--- a/src/layers/design_copies.ts
+++ b/src/layers/design_copies.ts
@@ -10,7 +10,7 @@
   type LayerHolder,
   makeCover,
 } from "./layer_cover.ts";
-import { findTokensInFlight, getLayerRoom } from "./token_room.ts";
+import { findTokensInFlight, getLayerRoom } from "./token_capacity.ts";
 import type { LayerEngine, LayerFigures, LayerOrder } from "./types.ts";
 
 /** The fields of a model that determine the time of a step. */
--- a/src/layers/index.ts
+++ b/src/layers/index.ts
@@ -10,5 +10,5 @@
 export * from "./layer_cover.ts";
 export type { SpreadCover } from "./choose_redistribution.ts";
 export * from "./plan_layer_orders.ts";
-export * from "./token_room.ts";
+export * from "./token_capacity.ts";
 export * from "./types.ts";
--- a/src/layers/layers_test.ts
+++ b/src/layers/layers_test.ts
@@ -10,7 +10,7 @@
   findTokensInFlight,
   getLayerRoom,
   getTokenRoom,
-} from "./token_room.ts";
+} from "./token_capacity.ts";
 import type { LayerEngine, LayerOrder } from "./types.ts";
 
 const PROFILE = {
--- a/src/layers/move_redundant_engines.ts
+++ b/src/layers/move_redundant_engines.ts
@@ -1,5 +1,5 @@
 /**
- * Moves engines with redundant layers to layers coverWithout a holder.
+ * Moves engines with redundant layers to layers without a holder.
  *
  * @module
  */
@@ -15,7 +15,7 @@
   type LayerCover,
   makeCover,
 } from "./layer_cover.ts";
-import { getLayerRoom } from "./token_room.ts";
+import { getLayerRoom } from "./token_capacity.ts";
 import type { LayerEngine, LayerFigures, LayerOrder } from "./types.ts";
 
 /** Options of {@link moveRedundantEngines}. */
@@ -27,8 +27,8 @@
 }
 
 /**
- * Moves engines whose layers all have other holders to layers coverWithout a holder. The
- * move with the highest gain comes first, until no gap is movable or no engine can move.
+ * Moves engines whose layers all have other holders to layers without a holder. The
+ * move with the highest gain comes first, until no gap is left or no engine can move.
  *
  * @param engines - The engines of a group.
  * @param options - The cover after the orders so far, the number of copies and the
--- a/src/layers/plan_layer_orders.ts
+++ b/src/layers/plan_layer_orders.ts
@@ -20,13 +20,13 @@
 import { addHolder, type LayerCover, makeCover } from "./layer_cover.ts";
 import { moveRedundantEngines } from "./move_redundant_engines.ts";
 import { redistributeGroup } from "./redistribute_group.ts";
-import { findTokensInFlight } from "./token_room.ts";
+import { findTokensInFlight } from "./token_capacity.ts";
 import type { LayerEngine, LayerFigures, LayerOrder } from "./types.ts";
 
 /** Options of {@link planLayerOrders}. */
 export interface PlanLayerOrdersOptions {
   readonly figures: LayerFigures;
-  /** Decides whether to redistribute a group with a gap that no single move can fill. */
+  /** Decides whether to redistribute a group with a gap that no move of an engine can fill. */
   readonly mayRespread: MayRedistribute;
 }
 
--- a/src/layers/token_room.ts
+++ b/src/layers/token_capacity.ts
@@ -37,7 +37,7 @@
  *
  * @param memoryMb - The engine's memory in MB.
  * @param profile - Layer sizes, load and step times of the model.
- * @param options - Number of layers that the engine fitsWith.
+ * @param options - Number of layers that the engine holds.
  * @returns The number of tokens, not rounded.
  * @throws Nothing.
  * @example
--- a/src/pipeline/create_pipeline.ts
+++ b/src/pipeline/create_pipeline.ts
@@ -1,5 +1,5 @@
 /**
- * The state of a pipeline before its first chain.
+ * Creates the initial state of a pipeline.
  *
  * @module
  */
@@ -8,19 +8,19 @@
 
 /** Options of {@link createPipeline}. */
 export interface CreatePipelineOptions {
-  /** Tokens after which the answer ends. */
+  /** Maximum number of tokens of the answer. */
   readonly maxTokens?: number;
 }
 
-/** Tokens of an answer where the request names no number. */
+/** Maximum number of tokens of an answer if the request sets none. */
 export const DEFAULT_MAX_TOKENS = 256;
 
 /**
- * Makes the state of a request's pipeline.
+ * Creates the state of a request's pipeline.
  *
- * @param layerCount - Layers of the model.
- * @param options - The most tokens that are wanted.
- * @returns The state; it waits for a chain.
+ * @param layerCount - Number of layers of the model.
+ * @param options - The maximum number of tokens.
+ * @returns The state, without a chain.
  * @throws Nothing.
  * @example
  * const pipeline = createPipeline(32, { maxTokens: 100 });
--- a/src/pipeline/is_whole_chain.ts
+++ b/src/pipeline/is_complete_chain.ts
@@ -1,5 +1,5 @@
 /**
- * Whether a chain covers a model.
+ * Checks whether a chain covers a model.
  *
  * @module
  */
@@ -7,16 +7,16 @@
 import type { Stage } from "./types.ts";
 
 /**
- * Tells whether the stages tile the layers: in order, no gap, no overlap.
+ * Checks whether the stages cover the layers in order, without gaps or overlaps.
  *
  * @param chain - The stages.
- * @param layerCount - Layers of the model.
+ * @param layerCount - Number of layers of the model.
  * @returns Whether every layer runs exactly once, in order.
  * @throws Nothing.
  * @example
- * isWholeChain([{ upstream: "e1", layers: { start: 0, end: 4 } }], 4); // true
+ * isCompleteChain([{ upstream: "e1", layers: { start: 0, end: 4 } }], 4); // true
  */
-export function isWholeChain(
+export function isCompleteChain(
   chain: readonly Stage[],
   layerCount: number,
 ): boolean {
--- a/src/pipeline/pipeline_error.ts
+++ b/src/pipeline/pipeline_error.ts
@@ -1,15 +1,15 @@
 /**
- * Errors of the pipeline layer.
+ * Errors of pipelines.
  *
  * @module
  */
 
 import ModernError from "modern-errors";
 
-/** Base of all errors of the pipeline layer. */
+/** Base class of pipeline errors. */
 export const PipelineError = ModernError.subclass("PipelineError");
 
-/** An invariant does not hold: the request ends as failed. */
+/** An invariant of the pipeline is violated; the request fails. */
 export const PipelineInvariantError = PipelineError.subclass(
   "PipelineInvariantError",
 );
--- a/src/pipeline/step_pipeline.ts
+++ b/src/pipeline/step_pipeline.ts
@@ -1,10 +1,10 @@
 /**
- * Drives one request over its stages: one pure step.
+ * The state transition of a request's pipeline, as a pure function.
  *
  * @module
  */
 
-import { isWholeChain } from "./is_whole_chain.ts";
+import { isCompleteChain } from "./is_complete_chain.ts";
 import { PipelineInvariantError } from "./pipeline_error.ts";
 import type {
   PipelineEvent,
@@ -16,18 +16,18 @@
 } from "./types.ts";
 
 /**
- * Moves a pipeline by one event.
+ * Applies one event to a pipeline.
  *
- * A new chain opens a new epoch: its first step runs the prompt and all tokens
- * given so far, so the stream goes on where it stood. An answer of an older
- * epoch, or for a step that is not the running one, changes nothing. A token
- * is emitted only once all layers have run for it in one epoch.
+ * A new chain starts a new epoch. The first step of an epoch runs the prompt and all
+ * tokens emitted so far, so that the stream continues where it was. The output of an
+ * older epoch, or of a step other than the running one, is ignored. A token is emitted
+ * only after all layers have run for it in one epoch.
  *
- * @param state - The pipeline.
- * @param event - A chain, or a step's answer.
- * @returns The next state and what to do.
- * @throws {PipelineInvariantError} When a chain does not tile the layers, or a
- * stage's answer lacks what its place demands.
+ * @param state - The state of the pipeline.
+ * @param event - A chain, or the output of a step.
+ * @returns The next state and the effects to execute.
+ * @throws {PipelineInvariantError} If a chain does not cover the layers once and in
+ * order, or if the output lacks the input of the next stage or the token.
  * @example
  * const { state: next, effects } = stepPipeline(state, {
  *   type: "chain",
@@ -38,22 +38,22 @@
   state: PipelineState,
   event: PipelineEvent,
 ): PipelineStep {
-  if (event.type === "chain") return takeChain(state, event.chain);
+  if (event.type === "chain") return startEpoch(state, event.chain);
   const expected = event.epoch === state.epoch &&
     event.position === state.position &&
     event.stageIndex === state.stageIndex && !state.ended;
   if (!expected) {
     return { state, effects: [{ type: "late", epoch: event.epoch }] };
   }
-  return takeOutput(state, event.output);
+  return applyOutput(state, event.output);
 }
 
-function takeChain(
+function startEpoch(
   state: PipelineState,
   chain: readonly Stage[],
 ): PipelineStep {
   if (state.ended) return { state, effects: [] };
-  if (!isWholeChain(chain, state.layerCount)) {
+  if (!isCompleteChain(chain, state.layerCount)) {
     throw new PipelineInvariantError(
       `The chain does not cover layers 0 to ${state.layerCount} once and in order`,
     );
@@ -67,10 +67,10 @@
     stageIndex: 0,
     layersDone: 0,
   };
-  return { state: next, effects: [order(next, { prefill: true })] };
+  return { state: next, effects: [createStepEffect(next, { prefill: true })] };
 }
 
-function order(
+function createStepEffect(
   state: PipelineState,
   options: { prefill: boolean; hidden?: string; previousToken?: number },
 ): { type: "step"; order: StepOrder } {
@@ -82,14 +82,14 @@
   };
 }
 
-function takeOutput(
+function applyOutput(
   state: PipelineState,
   output: StepOutput,
 ): PipelineStep {
   const { layers } = state.chain[state.stageIndex];
   if (layers.start !== state.layersDone) {
     throw new PipelineInvariantError(
-      `Layers from ${layers.start} ran when ${state.layersDone} was next`,
+      `A stage ran layers from ${layers.start}, expected layers from ${state.layersDone}`,
     );
   }
   const advanced: PipelineState = {
@@ -98,29 +98,34 @@
     stageIndex: state.stageIndex + 1,
   };
   return advanced.stageIndex < state.chain.length
-    ? passOn(advanced, output)
-    : emit(advanced, output);
+    ? startNextStage(advanced, output)
+    : emitToken(advanced, output);
 }
 
-function passOn(state: PipelineState, output: StepOutput): PipelineStep {
+function startNextStage(
+  state: PipelineState,
+  output: StepOutput,
+): PipelineStep {
   if (output.hidden === undefined) {
-    throw new PipelineInvariantError("A stage gave no input for the next one");
+    throw new PipelineInvariantError(
+      "A stage returned no input for the next stage",
+    );
   }
   const { hidden } = output;
   const prefill = state.position === state.epochStart;
-  return { state, effects: [order(state, { prefill, hidden })] };
+  return { state, effects: [createStepEffect(state, { prefill, hidden })] };
 }
 
-function emit(state: PipelineState, output: StepOutput): PipelineStep {
+function emitToken(state: PipelineState, output: StepOutput): PipelineStep {
   const { token } = output;
   if (token === undefined || state.layersDone !== state.layerCount) {
     throw new PipelineInvariantError(
-      "The last stage gave no token, or not all layers had run",
+      "The last stage returned no token, or not all layers had run",
     );
   }
   const tokens = [...state.tokens, token];
   const ended = token.last || tokens.length >= state.maxTokens;
-  const emitted = {
+  const emitEffect = {
     type: "emit",
     token,
     position: state.position,
@@ -133,8 +138,8 @@
     stageIndex: 0,
     layersDone: 0,
   };
-  const follow = ended
+  const nextEffect = ended
     ? { type: "end" } as const
-    : order(next, { prefill: false, previousToken: token.id });
-  return { state: next, effects: [emitted, follow] };
+    : createStepEffect(next, { prefill: false, previousToken: token.id });
+  return { state: next, effects: [emitEffect, nextEffect] };
 }
--- a/src/pipeline/step_pipeline_test.ts
+++ b/src/pipeline/step_pipeline_test.ts
@@ -3,7 +3,7 @@
 import fc from "fast-check";
 import {
   createPipeline,
-  isWholeChain,
+  isCompleteChain,
   type PipelineEffect,
   type PipelineState,
   type Stage,
@@ -24,7 +24,11 @@
   return undefined;
 }
 
-function answer(state: PipelineState, order: StepOrder, output: StepOutput) {
+function completeStep(
+  state: PipelineState,
+  order: StepOrder,
+  output: StepOutput,
+) {
   const { epoch, position, stageIndex } = order;
   return stepPipeline(state, {
     type: "stepDone",
@@ -35,17 +39,17 @@
   });
 }
 
-test("a chain with a gap, an overlap or a lack is no chain", () => {
-  assert.ok(isWholeChain(CHAIN, 5));
-  assert.not(isWholeChain([], 5));
-  assert.not(isWholeChain(CHAIN, 6));
-  assert.not(isWholeChain([CHAIN[0], CHAIN[0]], 4));
+test("a chain with a gap, an overlap or missing layers is rejected", () => {
+  assert.ok(isCompleteChain(CHAIN, 5));
+  assert.not(isCompleteChain([], 5));
+  assert.not(isCompleteChain(CHAIN, 6));
+  assert.not(isCompleteChain([CHAIN[0], CHAIN[0]], 4));
   assert.throws(() =>
     stepPipeline(createPipeline(6), { type: "chain", chain: CHAIN })
   );
 });
 
-test("late, doubled and misplaced answers change nothing", () => {
+test("late, duplicate and unexpected outputs change nothing", () => {
   const first = stepPipeline(createPipeline(5), {
     type: "chain",
     chain: CHAIN,
@@ -53,16 +57,19 @@
   const order = findOrder(first.effects);
   assert.ok(order);
   const output = { hidden: "h" };
-  const passed = answer(first.state, order, output);
-  const again = answer(passed.state, order, output);
-  assert.is(again.state, passed.state);
-  assert.is(again.effects[0].type, "late");
-  const repaired = stepPipeline(passed.state, { type: "chain", chain: CHAIN });
-  const late = answer(repaired.state, order, output);
+  const advanced = completeStep(first.state, order, output);
+  const duplicate = completeStep(advanced.state, order, output);
+  assert.is(duplicate.state, advanced.state);
+  assert.is(duplicate.effects[0].type, "late");
+  const repaired = stepPipeline(advanced.state, {
+    type: "chain",
+    chain: CHAIN,
+  });
+  const late = completeStep(repaired.state, order, output);
   assert.is(late.state, repaired.state);
 });
 
-test("a last stage without a token breaks the pipeline", () => {
+test("a last stage without a token violates an invariant", () => {
   const chain = [{ upstream: "a", layers: { start: 0, end: 5 } }];
   const { state, effects } = stepPipeline(createPipeline(5), {
     type: "chain",
@@ -70,13 +77,13 @@
   });
   const order = findOrder(effects);
   assert.ok(order);
-  assert.throws(() => answer(state, order, { hidden: "h" }));
+  assert.throws(() => completeStep(state, order, { hidden: "h" }));
 });
 
-// Stages fail at any step, answers come twice or late: whatever happens, each
-// layer runs once for each token within its epoch, in order, and the caller
-// gets each token once, in order.
-test("every layer runs once for each token whatever fails", () => {
+// Stages fail at any step, and outputs arrive twice or late. Guards against layers that
+// run twice or out of order for a token within an epoch, and against tokens that the
+// caller receives twice or out of order.
+test("every layer runs once per token despite failures", () => {
   const event = fc.constantFrom("ok", "fail", "double", "late");
   fc.assert(
     fc.property(fc.array(event, { maxLength: 80 }), (events) => {
@@ -87,25 +94,25 @@
       );
       const emitted: number[] = [];
       const ran = new Map<string, number[]>();
-      const old: StepOrder[] = [];
-      const take = (result: ReturnType<typeof stepPipeline>) => {
+      const earlierOrders: StepOrder[] = [];
+      const apply = (result: ReturnType<typeof stepPipeline>) => {
         ({ state, effects } = result);
         for (const effect of effects) {
           if (effect.type === "emit") emitted.push(effect.position);
         }
       };
-      for (const what of [...events, ...Array(20).fill("ok") as string[]]) {
+      for (const action of [...events, ...Array(20).fill("ok") as string[]]) {
         const order = findOrder(effects);
         if (!order) break;
-        if (what === "late" && old.length > 0) {
+        if (action === "late" && earlierOrders.length > 0) {
           const before = state;
-          const late = answer(state, old[0], { hidden: "x" });
+          const late = completeStep(state, earlierOrders[0], { hidden: "x" });
           if (late.state !== before) return false;
           continue;
         }
-        if (what === "fail") {
+        if (action === "fail") {
           const chain = chains[state.epoch % 2];
-          take(stepPipeline(state, { type: "chain", chain }));
+          apply(stepPipeline(state, { type: "chain", chain }));
           continue;
         }
         const key = `${order.epoch}/${order.position}`;
@@ -122,11 +129,11 @@
         const output = last
           ? { token: { id: order.position, text: "t", last: false } }
           : { hidden: "h" };
-        old.push(order);
-        take(answer(state, order, output));
-        if (what === "double") {
-          const doubled = answer(state, order, output);
-          if (doubled.state !== state) return false;
+        earlierOrders.push(order);
+        apply(completeStep(state, order, output));
+        if (action === "double") {
+          const duplicate = completeStep(state, order, output);
+          if (duplicate.state !== state) return false;
         }
       }
       const inOrder = [...ran.values()].every((layers) =>
--- a/src/pipeline/types.ts
+++ b/src/pipeline/types.ts
@@ -1,5 +1,5 @@
 /**
- * The values that a pipeline's decisions work on.
+ * State, events and effects of a pipeline.
  *
  * @module
  */
@@ -12,34 +12,34 @@
   readonly layers: LayerRange;
 }
 
-/** One step: a stage runs its layers for one or more positions. */
+/** An order to a stage to run its layers for one or more positions. */
 export interface StepOrder {
   readonly epoch: number;
   readonly stageIndex: number;
   readonly stage: Stage;
   /** First position that the step covers; 0 is the prompt. */
   readonly position: number;
-  /** Output of the stage before; absent at the first stage. */
+  /** Output of the previous stage; absent for the first stage. */
   readonly hidden?: string;
-  /** The token before, at the first stage of a position after the prefill. */
+  /** Previous token; set only for the first stage, after the prefill. */
   readonly previousToken?: number;
-  /** Set at the first step of an epoch: all tokens are run again. */
+  /** Whether this step is part of the prefill, which runs all tokens so far again. */
   readonly prefill: boolean;
 }
 
-/** What a step gave. */
+/** Output of a step. */
 export interface StepOutput {
-  /** Input of the next stage, from all but the last. */
+  /** Input of the next stage; absent in the output of the last stage. */
   readonly hidden?: string;
-  /** The token, from the last stage. */
+  /** The next token; only in the output of the last stage. */
   readonly token?: EmittedToken;
 }
 
-/** A token that the last stage gave. */
+/** A token that the last stage returned. */
 export interface EmittedToken {
   readonly id: number;
   readonly text: string;
-  /** Whether the model ends here. */
+  /** Whether the model ends the answer with this token. */
   readonly last: boolean;
 }
 
@@ -47,23 +47,23 @@
 export interface PipelineState {
   readonly layerCount: number;
   readonly maxTokens: number;
-  /** Counts the chains that the request has run on; the first is 1. */
+  /** Number of chains that the request has run on; 0 before the first chain. */
   readonly epoch: number;
   readonly chain: readonly Stage[];
-  /** Tokens that the caller was given, in order. */
+  /** Tokens emitted to the caller, in order. */
   readonly tokens: readonly EmittedToken[];
-  /** Position that is being run. */
+  /** Position that the stages currently run. */
   readonly position: number;
-  /** Position at which the epoch began, with a prefill. */
+  /** Position of the prefill, with which the epoch began. */
   readonly epochStart: number;
-  /** Stage that is running; the chain's length where none is. */
+  /** Index of the running stage in the chain. */
   readonly stageIndex: number;
-  /** Layers of the position that have run in this epoch. */
+  /** Number of layers that have run for the current position in this epoch. */
   readonly layersDone: number;
   readonly ended: boolean;
 }
 
-/** What moves a pipeline. */
+/** An input of a pipeline: a new chain, or the output of a step. */
 export type PipelineEvent =
   | { readonly type: "chain"; readonly chain: readonly Stage[] }
   | {
@@ -74,7 +74,7 @@
     readonly output: StepOutput;
   };
 
-/** What a pipeline asks for. */
+/** An action that the caller of a pipeline executes. */
 export type PipelineEffect =
   | { readonly type: "step"; readonly order: StepOrder }
   | {
@@ -85,7 +85,7 @@
   | { readonly type: "late"; readonly epoch: number }
   | { readonly type: "end" };
 
-/** A state after an event, and what it asks for. */
+/** The state after an event, and the effects to execute. */
 export interface PipelineStep {
   readonly state: PipelineState;
   readonly effects: readonly PipelineEffect[];
--- a/src/placement/get_engine_flow.ts
+++ b/src/placement/get_engine_flow.ts
@@ -1,5 +1,5 @@
 /**
- * The tokens a second that one engine carries.
+ * Computes the flow of one engine.
  *
  * @module
  */
@@ -7,11 +7,11 @@
 import type { PlacementEngine } from "./types.ts";
 
 /**
- * Gets the tokens a second that an engine carries with a number of layers.
+ * Gets the tokens per second that an engine can process with a number of layers.
  *
  * @param engine - The engine.
- * @param layerCount - Layers that it holds.
- * @returns Tokens a second; 0 where its memory does not hold them.
+ * @param layerCount - Number of layers that it holds.
+ * @returns Tokens per second; 0 if the layers don't fit in the engine's memory.
  * @throws Nothing.
  * @example
  * getEngineFlow(engine, 8);
--- a/src/placement/get_flow_bound.ts
+++ b/src/placement/get_flow_bound.ts
@@ -1,5 +1,5 @@
 /**
- * The tokens a second that no placement can exceed.
+ * Computes an upper bound on the flow of any placement.
  *
  * @module
  */
@@ -7,15 +7,15 @@
 import type { PlacementEngine } from "./types.ts";
 
 /**
- * Gets the bound on the flow of any placement.
+ * Gets an upper bound on the flow of any placement.
  *
- * Every token needs every layer once, so no more tokens can run than all
- * engines' layers a second make up. An engine gives no more than its link
- * carries times the layers that it holds.
+ * Every token runs every layer once, so the flow is at most the layers per second of
+ * all engines, divided by the layers of the model. Each engine counts with at most the
+ * token rate of its link times the layers that it can hold.
  *
  * @param engines - The engines.
- * @param layerCount - Layers of the model.
- * @returns Tokens a second.
+ * @param layerCount - Number of layers of the model.
+ * @returns Tokens per second.
  * @throws Nothing.
  * @example
  * getFlowBound(engines, 32);
--- a/src/placement/get_placement_flow.ts
+++ b/src/placement/get_placement_flow.ts
@@ -1,5 +1,5 @@
 /**
- * The tokens a second that a placement carries.
+ * Computes the flow of a placement.
  *
  * @module
  */
@@ -14,17 +14,17 @@
   readonly layerCount: number;
 }
 
-/** A range of layers and what its engines carry together. */
+/** A range of layers and the total flow of the engines that hold it. */
 export interface StageFlow {
   readonly layers: LayerRange;
   readonly flowPerS: number;
 }
 
 /**
- * Lists the stages of a placement with what each carries.
+ * Lists the stages of a placement with their flow.
  *
- * @param assignments - Who holds what.
- * @param options - The engines and the model's layers.
+ * @param assignments - The layers that each engine holds.
+ * @param options - The engines and the number of layers of the model.
  * @returns The stages in the order of their layers.
  * @throws Nothing.
  * @example
@@ -34,26 +34,26 @@
   assignments: readonly LayerAssignment[],
   options: GetPlacementFlowOptions,
 ): StageFlow[] {
-  const byName = new Map(options.engines.map((one) => [one.name, one]));
+  const engineByName = new Map(options.engines.map((one) => [one.name, one]));
   const stages = new Map<number, StageFlow>();
   for (const { upstream, layers } of assignments) {
-    const engine = byName.get(upstream);
+    const engine = engineByName.get(upstream);
     const flow = engine ? getEngineFlow(engine, layers.end - layers.start) : 0;
-    const known = stages.get(layers.start)?.flowPerS ?? 0;
-    stages.set(layers.start, { layers, flowPerS: known + flow });
+    const previousFlow = stages.get(layers.start)?.flowPerS ?? 0;
+    stages.set(layers.start, { layers, flowPerS: previousFlow + flow });
   }
   return [...stages.values()].sort((a, b) => a.layers.start - b.layers.start);
 }
 
 /**
- * Gets the tokens a second that a placement carries.
+ * Gets the tokens per second that a placement can process.
  *
- * Its stages are one behind the other, so the max flow is what the weakest of
- * them carries; a layer that nobody holds makes it 0.
+ * Stages run in sequence, so the maximum flow is that of the slowest stage. It is 0 if
+ * a layer has no holder.
  *
- * @param assignments - Who holds what; stages do not overlap.
- * @param options - The engines and the model's layers.
- * @returns Tokens a second.
+ * @param assignments - The layers that each engine holds; stages must not overlap.
+ * @param options - The engines and the number of layers of the model.
+ * @returns Tokens per second.
  * @throws Nothing.
  * @example
  * getPlacementFlow(assignments, { engines, layerCount: 32 });
--- a/src/placement/index.ts
+++ b/src/placement/index.ts
@@ -1,5 +1,5 @@
 /**
- * Placement: where the layers of a model go, and how a loss is repaired.
+ * Placement of a model's layers on engines, and its repair after engine failures.
  *
  * @module
  */
--- a/src/placement/placement_test.ts
+++ b/src/placement/placement_test.ts
@@ -25,11 +25,11 @@
   };
 }
 
-test("without engines nothing flows", () => {
+test("without engines the flow is 0", () => {
   assert.is(planPlacement([], { layerCount: LAYERS }).flowPerS, 0);
 });
 
-test("too little memory for the model means no flow", () => {
+test("the flow is 0 if the engines can't hold the model", () => {
   const engines = [makeEngine("a"), makeEngine("b")];
   assert.is(planPlacement(engines, { layerCount: LAYERS }).flowPerS, 0);
 });
@@ -40,7 +40,7 @@
   assert.ok(plan.flowPerS >= 0.99 * plan.boundPerS);
 });
 
-test("no plan exceeds the bound, holds more than fits, or says more than it carries", () => {
+test("a plan keeps to the flow bound and to memory and reports its actual flow", () => {
   const engine = fc.record({
     layersPerS: fc.integer({ min: 100, max: 9_000 }),
     maxLayers: fc.integer({ min: 1, max: 30 }),
@@ -67,7 +67,11 @@
 
 const STAGES = [{ start: 0, end: 12 }, { start: 12, end: 24 }];
 
-function place(upstream: string, stage: number, ready = true): PlacedEngine {
+function placeEngine(
+  upstream: string,
+  stage: number,
+  ready = true,
+): PlacedEngine {
   return { upstream, layers: STAGES[stage], ready };
 }
 
@@ -76,42 +80,54 @@
 );
 const options = { engines, layerCount: LAYERS, stages: STAGES, maxLoads: 1 };
 
-test("a whole placement needs no repair", () => {
+test("a complete placement needs no repair", () => {
   const placed = [
-    place("a", 0),
-    place("b", 0),
-    place("c", 1),
-    place("d", 1),
-    place("e", 1),
+    placeEngine("a", 0),
+    placeEngine("b", 0),
+    placeEngine("c", 1),
+    placeEngine("d", 1),
+    placeEngine("e", 1),
   ];
   assert.is(
-    planRepairMove(placed, { ...options, contentPart: 0.8 }),
+    planRepairMove(placed, { ...options, targetShare: 0.8 }),
     undefined,
   );
 });
 
-test("a lost stage gets an idle engine first, then one that can be spared", () => {
-  const idle = planRepairMove([place("a", 0), place("b", 0)], options);
+test("a stage without engines gets an idle engine, or else one from another stage", () => {
+  const idle = planRepairMove(
+    [placeEngine("a", 0), placeEngine("b", 0)],
+    options,
+  );
   assert.equal(idle?.to, STAGES[1]);
   assert.is(idle?.from, undefined);
-  const all = [place("a", 0), place("b", 0), place("c", 0), place("d", 0)];
-  const spared = planRepairMove(all, {
+  const placedAll = [
+    placeEngine("a", 0),
+    placeEngine("b", 0),
+    placeEngine("c", 0),
+    placeEngine("d", 0),
+  ];
+  const donated = planRepairMove(placedAll, {
     ...options,
     engines: engines.slice(0, 4),
   });
-  assert.equal(spared?.from, STAGES[0]);
-  assert.equal(spared?.to, STAGES[1]);
+  assert.equal(donated?.from, STAGES[0]);
+  assert.equal(donated?.to, STAGES[1]);
 });
 
-test("the weight store's limit holds moves back", () => {
-  const placed = [place("a", 0), place("b", 1, false)];
+test("no move starts while the maximum number of loads is running", () => {
+  const placed = [placeEngine("a", 0), placeEngine("b", 1, false)];
   assert.is(planRepairMove(placed, options), undefined);
 });
 
-test("a second loss during a repair starts from what is there", () => {
-  const placed = [place("a", 0), place("b", 0), place("c", 1, false)];
-  const left = engines.filter(({ name }) => name !== "c");
-  const move = planRepairMove(placed, { ...options, engines: left });
+test("a second failure during a repair is handled from the current placement", () => {
+  const placed = [
+    placeEngine("a", 0),
+    placeEngine("b", 0),
+    placeEngine("c", 1, false),
+  ];
+  const remaining = engines.filter(({ name }) => name !== "c");
+  const move = planRepairMove(placed, { ...options, engines: remaining });
   assert.equal(move?.to, STAGES[1]);
 });
 
--- a/src/placement/plan_model_placement.ts
+++ b/src/placement/plan_model_placement.ts
@@ -1,5 +1,5 @@
 /**
- * The next placement of a model: a first plan, or one repair move.
+ * Plans the next placement of a model: an initial plan, or one repair move.
  *
  * @module
  */
@@ -9,7 +9,7 @@
 import { planRepairMove } from "./plan_repair.ts";
 import type { PlacementEngine } from "./types.ts";
 
-/** Names an order: later ones have a higher term, or a higher sequence. */
+/** Fencing token of an order: later orders have a higher term, or a higher sequence. */
 export interface OrderFence {
   readonly term: number;
   readonly sequence: number;
@@ -18,25 +18,25 @@
 /** Options of {@link planModelPlacement}. */
 export interface PlanModelPlacementOptions {
   readonly model: ModelSpec;
-  /** Upstreams that are live and take orders to load layers. */
+  /** Live upstreams that accept orders to load layers. */
   readonly upstreams: readonly UpstreamSpec[];
-  /** The placement that stands, if any. */
+  /** The current placement, if any. */
   readonly placement?: PlacementSpec;
-  /** Fence of the next order. */
+  /** Fencing token of the next order. */
   readonly fence: OrderFence;
 }
 
-/** Tokens a second of a link of which nothing is declared. */
+/** Tokens per second of the link of an engine; upstreams declare none. */
 const DEFAULT_LINK_TOKENS_PER_S = 1e6;
 
-/** Layers a second of an engine of which nothing is declared. */
+/** Layers per second of an engine that declares no value. */
 const DEFAULT_LAYERS_PER_S = 1_000;
 
 /**
  * Plans the next placement of a model.
  *
- * @param options - The model, its live engines, and what stands.
- * @returns The placement to accept, or undefined where nothing changes.
+ * @param options - The model, its live engines and the current placement.
+ * @returns The next placement, or undefined if nothing changes.
  * @throws Nothing.
  * @example
  * const next = planModelPlacement({ model, upstreams, fence });
@@ -77,11 +77,11 @@
 function toEngine(upstream: UpstreamSpec, model: ModelSpec): PlacementEngine {
   const { name, memoryBytes = Infinity, layersPerS } = upstream;
   const layerBytes = model.layerBytes ?? 1;
-  const fitting = Math.floor(memoryBytes / layerBytes);
+  const maxLayers = Math.floor(memoryBytes / layerBytes);
   return {
     name,
     layersPerS: layersPerS ?? DEFAULT_LAYERS_PER_S,
-    maxLayers: Math.min(model.layerCount, fitting),
+    maxLayers: Math.min(model.layerCount, maxLayers),
     linkTokensPerS: DEFAULT_LINK_TOKENS_PER_S,
   };
 }
--- a/src/placement/plan_placement.ts
+++ b/src/placement/plan_placement.ts
@@ -1,5 +1,5 @@
 /**
- * Places the layers of a model on mixed engines.
+ * Places the layers of a model on engines of different speed and memory.
  *
  * @module
  */
@@ -13,16 +13,16 @@
 export interface PlanPlacementOptions {
   readonly layerCount: number;
   /**
-   * Part of the best flow that may be given up for fewer stages: each stage
-   * more is a hop more for every token.
+   * Share of the best flow that may be given up to use fewer stages, since each stage
+   * adds a hop for every token.
    */
   readonly hopTolerance?: number;
 }
 
-/** Part of the flow given up for fewer stages; see docs/design/placement.md. */
+/** Default of `hopTolerance`; see docs/design/placement.md. */
 export const DEFAULT_HOP_TOLERANCE = 0.02;
 
-/** Rounds of exchanges that improve the weakest stage. */
+/** Maximum number of moves and exchanges that improve the slowest stage. */
 const MAX_ROUNDS = 200;
 
 interface Stage {
@@ -33,16 +33,16 @@
 }
 
 /**
- * Plans where the layers of a model go.
+ * Plans a placement of a model's layers.
  *
- * For each number of stages, the layers are split evenly and the engines dealt
- * out, the strongest first, each to the stage that then lacks most; exchanges
- * between the weakest stage and the others follow. The plan with the most flow
- * wins, or one that is nearly as good with fewer stages.
+ * For each number of stages, this splits the layers evenly and assigns each engine, the
+ * fastest first, to the stage with the lowest flow so far. Then it moves or exchanges
+ * engines between the slowest stage and the others. It returns the plan with the
+ * highest flow, or one with fewer stages whose flow is nearly as high.
  *
  * @param engines - The engines.
- * @param options - The model's layers, and what a stage less is worth.
- * @returns The placement with its flow beside the bound.
+ * @param options - The number of layers of the model and the hop tolerance.
+ * @returns The placement with its flow and the bound.
  * @throws Nothing.
  * @example
  * const { flowPerS, boundPerS } = planPlacement(engines, { layerCount: 32 });
@@ -53,15 +53,18 @@
 ): Placement {
   const { layerCount, hopTolerance = DEFAULT_HOP_TOLERANCE } = options;
   const boundPerS = getFlowBound(engines, layerCount);
-  const mostLayers = Math.max(1, ...engines.map((engine) => engine.maxLayers));
-  const fewest = Math.ceil(layerCount / mostLayers);
-  const most = Math.min(layerCount, engines.length);
+  const maxEngineLayers = Math.max(
+    1,
+    ...engines.map((engine) => engine.maxLayers),
+  );
+  const minStages = Math.ceil(layerCount / maxEngineLayers);
+  const maxStages = Math.min(layerCount, engines.length);
   let best: Stage[] = [];
   let bestFlow = 0;
-  for (let count = fewest; count <= most; count++) {
+  for (let count = minStages; count <= maxStages; count++) {
     const stages = fillStages(engines, splitLayers(layerCount, count));
-    const flow = getWeakest(stages).flowPerS;
-    // A stage more has to earn its hop.
+    const flow = getSlowest(stages).flowPerS;
+    // More stages have to raise the flow by more than the tolerance.
     if (flow <= bestFlow * (1 + hopTolerance)) continue;
     best = stages;
     bestFlow = flow;
@@ -87,21 +90,21 @@
     engines: [],
     flowPerS: 0,
   }));
-  // Those that fit few stages choose first among equals of speed.
-  const ordered = [...engines].sort((a, b) =>
+  // Among engines of equal speed, those that fit the fewest stages come first.
+  const sorted = [...engines].sort((a, b) =>
     b.layersPerS - a.layersPerS || a.maxLayers - b.maxLayers
   );
-  for (const engine of ordered) {
-    const target = findNeediest(stages, engine);
-    if (target) add(target, engine);
+  for (const engine of sorted) {
+    const target = findSlowestFittingStage(stages, engine);
+    if (target) addEngine(target, engine);
   }
   for (let round = 0; round < MAX_ROUNDS; round++) {
-    if (!improve(stages)) break;
+    if (!improveSlowestStage(stages)) break;
   }
   return stages;
 }
 
-function findNeediest(
+function findSlowestFittingStage(
   stages: readonly Stage[],
   engine: PlacementEngine,
 ): Stage | undefined {
@@ -113,71 +116,72 @@
   return target;
 }
 
-function add(stage: Stage, engine: PlacementEngine): void {
+function addEngine(stage: Stage, engine: PlacementEngine): void {
   stage.engines.push(engine);
   stage.flowPerS += getEngineFlow(engine, stage.size);
 }
 
-function remove(stage: Stage, engine: PlacementEngine): void {
+function removeEngine(stage: Stage, engine: PlacementEngine): void {
   stage.engines.splice(stage.engines.indexOf(engine), 1);
   stage.flowPerS -= getEngineFlow(engine, stage.size);
 }
 
-function getWeakest(stages: readonly Stage[]): Stage {
-  return stages.reduce((weakest, stage) =>
-    stage.flowPerS < weakest.flowPerS ? stage : weakest
+function getSlowest(stages: readonly Stage[]): Stage {
+  return stages.reduce((slowest, stage) =>
+    stage.flowPerS < slowest.flowPerS ? stage : slowest
   );
 }
 
-// One move or exchange that lifts the weakest stage without making another as
-// weak; the one that leaves the two most even is taken.
-function improve(stages: readonly Stage[]): boolean {
-  const weakest = getWeakest(stages);
+// Executes the move or exchange after which the lower flow of the two stages is
+// highest, if that is above the flow of the slowest stage now. Returns whether there
+// was one.
+function improveSlowestStage(stages: readonly Stage[]): boolean {
+  const slowest = getSlowest(stages);
   let gain = 0;
-  let run: (() => void) | undefined;
+  let execute: (() => void) | undefined;
   for (const other of stages) {
-    if (other === weakest) continue;
-    for (const given of other.engines) {
-      if (weakest.size > given.maxLayers) continue;
-      for (const taken of [undefined, ...weakest.engines]) {
-        if (taken && other.size > taken.maxLayers) continue;
-        const result = Math.min(
-          flowAfter(weakest, { given, taken }),
-          flowAfter(other, { given: taken, taken: given }),
+    if (other === slowest) continue;
+    for (const added of other.engines) {
+      if (slowest.size > added.maxLayers) continue;
+      for (const removed of [undefined, ...slowest.engines]) {
+        if (removed && other.size > removed.maxLayers) continue;
+        const lowerFlow = Math.min(
+          getFlowAfter(slowest, { added, removed }),
+          getFlowAfter(other, { added: removed, removed: added }),
         );
-        if (result - weakest.flowPerS <= gain + 1e-9) continue;
-        gain = result - weakest.flowPerS;
-        run = () => exchange(weakest, other, { given, taken });
+        if (lowerFlow - slowest.flowPerS <= gain + 1e-9) continue;
+        gain = lowerFlow - slowest.flowPerS;
+        execute = () => exchangeEngines(slowest, other, { added, removed });
       }
     }
   }
-  run?.();
-  return run !== undefined;
+  execute?.();
+  return execute !== undefined;
 }
 
 interface Exchange {
-  readonly given: PlacementEngine | undefined;
-  readonly taken: PlacementEngine | undefined;
+  readonly added: PlacementEngine | undefined;
+  readonly removed: PlacementEngine | undefined;
 }
 
-function flowAfter(stage: Stage, { given, taken }: Exchange): number {
-  const gained = given ? getEngineFlow(given, stage.size) : 0;
-  const lost = taken ? getEngineFlow(taken, stage.size) : 0;
-  return stage.flowPerS + gained - lost;
+function getFlowAfter(stage: Stage, { added, removed }: Exchange): number {
+  const addedFlow = added ? getEngineFlow(added, stage.size) : 0;
+  const removedFlow = removed ? getEngineFlow(removed, stage.size) : 0;
+  return stage.flowPerS + addedFlow - removedFlow;
 }
 
-function exchange(
-  weakest: Stage,
+function exchangeEngines(
+  slowest: Stage,
   other: Stage,
-  { given, taken }: Exchange,
+  { added, removed }: Exchange,
 ): void {
-  if (given) {
-    remove(other, given);
-    add(weakest, given);
+  if (added) {
+    removeEngine(other, added);
+    addEngine(slowest, added);
   }
-  if (!taken) return;
-  remove(weakest, taken);
-  add(other, taken);
+  if (!removed) return;
+  removeEngine(slowest, removed);
+  addEngine(other, removed);
 }
 
 function listAssignments(stages: readonly Stage[]): LayerAssignment[] {
--- a/src/placement/plan_repair.ts
+++ b/src/placement/plan_repair.ts
@@ -1,5 +1,5 @@
 /**
- * The next move that brings a placement back after a loss.
+ * Plans the next move of the repair of a placement after engine failures.
  *
  * @module
  */
@@ -10,51 +10,52 @@
 import { listStageFlows, type StageFlow } from "./get_placement_flow.ts";
 import type { LayerAssignment, PlacementEngine } from "./types.ts";
 
-/** Where an engine's layers stand. */
+/** The layers that an engine holds or loads. */
 export interface PlacedEngine extends LayerAssignment {
-  /** Whether it serves them; one that is loading does not yet. */
+  /** Whether the engine serves its layers; false while it loads them. */
   readonly ready: boolean;
 }
 
 /** Options of {@link planRepairMove}. */
 export interface PlanRepairOptions {
-  /** The engines that are live. */
+  /** The live engines. */
   readonly engines: readonly PlacementEngine[];
   readonly layerCount: number;
-  /** The stages that the placement was made with. */
+  /** The stages of the original placement. */
   readonly stages: readonly LayerRange[];
-  /** Part of the new bound with which the repair is content. */
-  readonly contentPart?: number;
-  /** Loads that the weight store takes at once. */
+  /** Share of the flow bound of the live engines at which the repair stops. */
+  readonly targetShare?: number;
+  /** Maximum number of concurrent loads from the weight store. */
   readonly maxLoads?: number;
 }
 
-/** An engine that is to take over other layers. */
+/** A move of an engine to other layers. */
 export interface RepairMove {
   readonly upstream: string;
-  /** Layers that it gives up; absent where it held none. */
+  /** Layers that it gives up; absent if it held none. */
   readonly from?: LayerRange;
   readonly to: LayerRange;
 }
 
-/** Part of the new bound with which the repair is content. */
-export const DEFAULT_CONTENT_PART = 0.93;
+/** Default share of the flow bound at which the repair stops. */
+export const DEFAULT_TARGET_SHARE = 0.93;
 
-/** Loads that the weight store takes at once. */
+/** Default maximum number of concurrent loads from the weight store. */
 export const DEFAULT_MAX_LOADS = 2;
 
 /**
  * Plans the next move of a repair.
  *
- * One engine at a time goes to the weakest stage: one without layers if there
- * is one, else one that its stage can spare. A stage gives an engine away only
- * while it stays above the weakest, so what is served never falls for a move,
- * unless a stage has nobody left at all. Each call starts from what is there,
- * so a second loss in the midst of a repair needs nothing of its own.
+ * One engine at a time moves to the slowest stage: preferably an engine without layers,
+ * otherwise one from another stage. A stage gives up an engine only if its flow stays
+ * above that of the slowest stage, so a move never lowers the flow of the placement,
+ * unless a stage has no engine left. Each call starts from the current placement, so
+ * a second failure during a repair needs no special handling.
  *
- * @param placed - Who holds or loads what; engines that were lost may be named.
- * @param options - The live engines, the model, and when to be content.
- * @returns The move, or undefined where nothing is to be moved now.
+ * @param placed - The layers that each engine holds or loads; failed engines may be
+ * included.
+ * @param options - The live engines, the model and the limits of the repair.
+ * @returns The move, or undefined if no engine moves now.
  * @throws Nothing.
  * @example
  * const move = planRepairMove(placed, options);
@@ -64,74 +65,77 @@
   options: PlanRepairOptions,
 ): RepairMove | undefined {
   const { engines, layerCount, maxLoads = DEFAULT_MAX_LOADS } = options;
-  const { contentPart = DEFAULT_CONTENT_PART } = options;
-  const byName = new Map(engines.map((engine) => [engine.name, engine]));
-  const live = placed.filter((one) => byName.has(one.upstream));
+  const { targetShare = DEFAULT_TARGET_SHARE } = options;
+  const engineByName = new Map(engines.map((engine) => [engine.name, engine]));
+  const live = placed.filter((one) => engineByName.has(one.upstream));
   const loading = live.filter((one) => !one.ready).length;
   if (loading >= maxLoads) return undefined;
-  // What is loading counts as there: it is on its way.
-  const flows = listFlows(live, options);
-  const weakest = flows.reduce((a, b) => b.flowPerS < a.flowPerS ? b : a);
+  // Engines that are loading count as holders, since they will serve soon.
+  const flows = listAllStageFlows(live, options);
+  const slowest = flows.reduce((a, b) => b.flowPerS < a.flowPerS ? b : a);
   const boundPerS = getFlowBound(engines, layerCount);
-  if (weakest.flowPerS >= boundPerS * contentPart) return undefined;
+  if (slowest.flowPerS >= boundPerS * targetShare) return undefined;
   const idle = engines.filter(({ name }) =>
     !live.some((one) => one.upstream === name)
   );
-  return chooseIdle(idle, weakest) ??
-    chooseSpared(live, { byName, flows, weakest });
+  return chooseIdleEngine(idle, slowest) ??
+    chooseDonatedEngine(live, { engineByName, flows, slowest });
 }
 
-function listFlows(
+function listAllStageFlows(
   live: readonly PlacedEngine[],
   options: PlanRepairOptions,
 ): StageFlow[] {
   const { engines, layerCount, stages } = options;
-  const known = listStageFlows(live, { engines, layerCount });
+  const liveFlows = listStageFlows(live, { engines, layerCount });
   return stages.map((layers) =>
-    known.find((stage) => stage.layers.start === layers.start) ??
+    liveFlows.find((stage) => stage.layers.start === layers.start) ??
       { layers, flowPerS: 0 }
   );
 }
 
-function getSize(layers: LayerRange): number {
+function countLayers(layers: LayerRange): number {
   return layers.end - layers.start;
 }
 
-function chooseIdle(
+function chooseIdleEngine(
   idle: readonly PlacementEngine[],
-  weakest: StageFlow,
+  slowest: StageFlow,
 ): RepairMove | undefined {
-  const size = getSize(weakest.layers);
-  const fit = idle.filter((engine) => getEngineFlow(engine, size) > 0);
-  if (fit.length === 0) return undefined;
-  const best = fit.reduce((a, b) =>
-    getEngineFlow(b, size) > getEngineFlow(a, size) ? b : a
+  const layerCount = countLayers(slowest.layers);
+  const fitting = idle.filter((engine) =>
+    getEngineFlow(engine, layerCount) > 0
   );
-  return { upstream: best.name, to: weakest.layers };
+  if (fitting.length === 0) return undefined;
+  const best = fitting.reduce((a, b) =>
+    getEngineFlow(b, layerCount) > getEngineFlow(a, layerCount) ? b : a
+  );
+  return { upstream: best.name, to: slowest.layers };
 }
 
-function chooseSpared(
+function chooseDonatedEngine(
   live: readonly PlacedEngine[],
   state: {
-    byName: ReadonlyMap<string, PlacementEngine>;
+    engineByName: ReadonlyMap<string, PlacementEngine>;
     flows: readonly StageFlow[];
-    weakest: StageFlow;
+    slowest: StageFlow;
   },
 ): RepairMove | undefined {
-  const { byName, flows, weakest } = state;
-  const size = getSize(weakest.layers);
+  const { engineByName, flows, slowest } = state;
+  const layerCount = countLayers(slowest.layers);
   let best: RepairMove | undefined;
-  let bestLevel = weakest.flowPerS;
+  let bestMinFlow = slowest.flowPerS;
   for (const { upstream, layers, ready } of live) {
-    const engine = byName.get(upstream);
-    const home = flows.find((flow) => flow.layers.start === layers.start);
-    if (!ready || !engine || !home || home === weakest) continue;
-    const gain = getEngineFlow(engine, size);
-    const left = home.flowPerS - getEngineFlow(engine, getSize(layers));
-    const level = Math.min(left, weakest.flowPerS + gain);
-    if (gain === 0 || level <= bestLevel + 1e-9) continue;
-    bestLevel = level;
-    best = { upstream, from: layers, to: weakest.layers };
+    const engine = engineByName.get(upstream);
+    const source = flows.find((flow) => flow.layers.start === layers.start);
+    if (!ready || !engine || !source || source === slowest) continue;
+    const addedFlow = getEngineFlow(engine, layerCount);
+    const remaining = source.flowPerS -
+      getEngineFlow(engine, countLayers(layers));
+    const minFlow = Math.min(remaining, slowest.flowPerS + addedFlow);
+    if (addedFlow === 0 || minFlow <= bestMinFlow + 1e-9) continue;
+    bestMinFlow = minFlow;
+    best = { upstream, from: layers, to: slowest.layers };
   }
   return best;
 }
--- a/src/placement/types.ts
+++ b/src/placement/types.ts
@@ -1,5 +1,5 @@
 /**
- * What placement works on: engines, a model, and where its layers are.
+ * Input and result of the placement of layers.
  *
  * @module
  */
@@ -9,11 +9,11 @@
 /** An engine that can hold a range of layers. */
 export interface PlacementEngine {
   readonly name: string;
-  /** Layers times tokens that it runs in a second. */
+  /** Layers per second that it runs, each for one token. */
   readonly layersPerS: number;
-  /** Layers of the model that its memory holds. */
+  /** Number of layers of the model that fit in its memory. */
   readonly maxLayers: number;
-  /** Tokens a second that its link carries. */
+  /** Tokens per second that its network link can carry. */
   readonly linkTokensPerS: number;
 }
 
@@ -23,11 +23,11 @@
   readonly layers: LayerRange;
 }
 
-/** A placement and what it can carry. */
+/** A placement and its flow. */
 export interface Placement {
   readonly assignments: readonly LayerAssignment[];
-  /** Tokens a second that it can carry: the max flow over its stages. */
+  /** Tokens per second that it can process: the maximum flow through its stages. */
   readonly flowPerS: number;
-  /** Tokens a second that no placement on these engines can exceed. */
+  /** Upper bound, in tokens per second, on the flow of any placement on the engines. */
   readonly boundPerS: number;
 }
