--- a/src/limits/compute_leased_shares.ts
+++ b/src/limits/compute_leased_shares.ts
@@ -1,36 +1,36 @@
 /**
- * Divides a client account's rate among the entries.
+ * Splits a client account's rate limit among the entries.
  *
  * @module
  */
 
-/** What one entry wants for one client account. */
+/** One entry's demand for one client account. */
 export interface EntryDemand {
   readonly entry: string;
-  /** Requests a second that callers asked of it. */
+  /** Requests per second that callers sent to the entry. */
   readonly demandPerS: number;
 }
 
 /** Options of {@link computeLeasedShares}. */
 export interface ComputeLeasedSharesOptions {
-  /** Part of the rate that is split evenly, so that a new caller finds some. */
-  readonly evenPart?: number;
+  /** Fraction of the rate that is split evenly, so that a new caller is not rejected. */
+  readonly evenFraction?: number;
 }
 
-/** Default of the evenly split part; see docs/design/limits.md. */
-export const DEFAULT_EVEN_PART = 0.2;
+/** Default fraction of the rate that is split evenly; see docs/design/limits.md. */
+export const DEFAULT_EVEN_FRACTION = 0.2;
 
 /**
- * Divides a rate among entries by what each was asked for.
+ * Splits a rate among entries according to their demand.
  *
- * A small part is split evenly, the rest max-min fairly by demand: no entry
- * gets more than it wants while another lacks. What nobody wants is split
- * evenly too, so the shares always add up to the rate.
+ * A small fraction is split evenly and the rest by max-min fairness: no entry
+ * gets more than its demand while another's demand is unmet. Any surplus is
+ * split evenly too, so the shares always add up to the rate.
  *
- * @param ratePerS - The client account's rate over all entries.
- * @param demands - What each live entry was asked for.
- * @param options - The part that is split evenly.
- * @returns Requests a second by entry; they add up to the rate.
+ * @param ratePerS - The client account's rate limit across all entries.
+ * @param demands - The demand at each live entry.
+ * @param options - The fraction that is split evenly.
+ * @returns Requests per second by entry; they add up to the rate.
  * @throws Nothing.
  * @example
  * computeLeasedShares(10, [{ entry: "vm-1", demandPerS: 3 }]);
@@ -40,25 +40,27 @@
   demands: readonly EntryDemand[],
   options: ComputeLeasedSharesOptions = {},
 ): Record<string, number> {
-  const { evenPart = DEFAULT_EVEN_PART } = options;
+  const { evenFraction = DEFAULT_EVEN_FRACTION } = options;
   if (demands.length === 0) return {};
-  const evenPerS = (ratePerS * evenPart) / demands.length;
+  const evenPerS = (ratePerS * evenFraction) / demands.length;
   const shares = new Map(demands.map(({ entry }) => [entry, evenPerS]));
-  let leftPerS = ratePerS - evenPerS * demands.length;
-  let wanting = demands.filter(({ demandPerS }) => demandPerS > evenPerS);
-  while (wanting.length > 0 && leftPerS > 1e-9) {
-    const offerPerS = leftPerS / wanting.length;
-    for (const { entry, demandPerS } of wanting) {
-      const has = shares.get(entry) ?? 0;
-      const takes = Math.min(offerPerS, demandPerS - has);
-      shares.set(entry, has + takes);
-      leftPerS -= takes;
+  let remainingPerS = ratePerS - evenPerS * demands.length;
+  let unsatisfied = demands.filter(({ demandPerS }) => demandPerS > evenPerS);
+  while (unsatisfied.length > 0 && remainingPerS > 1e-9) {
+    const equalSharePerS = remainingPerS / unsatisfied.length;
+    for (const { entry, demandPerS } of unsatisfied) {
+      const currentPerS = shares.get(entry) ?? 0;
+      const addedPerS = Math.min(equalSharePerS, demandPerS - currentPerS);
+      shares.set(entry, currentPerS + addedPerS);
+      remainingPerS -= addedPerS;
     }
-    wanting = wanting.filter(({ entry, demandPerS }) =>
+    unsatisfied = unsatisfied.filter(({ entry, demandPerS }) =>
       demandPerS - (shares.get(entry) ?? 0) > 1e-9
     );
   }
-  const restPerS = leftPerS / demands.length;
-  const pairs = [...shares].map(([entry, share]) => [entry, share + restPerS]);
+  const surplusPerS = remainingPerS / demands.length;
+  const pairs = [...shares].map((
+    [entry, share],
+  ) => [entry, share + surplusPerS]);
   return Object.fromEntries(pairs);
 }
--- a/src/limits/decide_admission.ts
+++ b/src/limits/decide_admission.ts
@@ -1,38 +1,38 @@
 /**
- * Whether a request runs now, waits, or is refused at once.
+ * Admission control: run a request now, queue it, or reject it.
  *
  * @module
  */
 
 import type { RefusalReason } from "../metrics/index.ts";
 
-/** What is known when a request arrives. */
+/** State of the entry and the request when the request arrives. */
 export interface AdmissionInput {
-  /** The service's requests that run through this entry. */
+  /** The service's requests in flight through this entry. */
   readonly inFlight: number;
-  /** Requests that may run through it. */
+  /** Limit on the service's requests in flight through this entry. */
   readonly maxInFlight: number;
-  /** Requests that wait. */
+  /** Requests in the queue. */
   readonly queued: number;
   readonly maxQueued: number;
-  /** Requests of the queue that would go before it. */
+  /** Queued requests that would be served before this one. */
   readonly queuedAhead: number;
-  /** Whether one of the queue would go behind it. */
+  /** Whether a queued request would be served after this one. */
   readonly hasLater: boolean;
-  /** The client account's requests that run or wait here. */
+  /** The client account's requests that are in flight or queued here. */
   readonly accountInFlight: number;
   readonly accountMaxInFlight: number;
-  /** Requests that lately ended in a second; 0 where none is known. */
+  /** Recent completions per second; 0 if unknown. */
   readonly endedPerS: number;
-  /** Time, in ms, that the caller still gives it. */
+  /** Time, in ms, until the caller's deadline. */
   readonly timeLeftMs: number;
-  /** Time, in ms, that a request takes once it runs; 0 where none is known. */
+  /** Typical run time of a request, in ms, without queueing; 0 if unknown. */
   readonly typicalRunMs: number;
 }
 
 /**
- * Runs, waits, or is refused with the time to come back. Where `displace` is
- * set, the last of the queue is refused in its stead.
+ * Run the request, queue it, or reject it with a time after which to retry.
+ * If `displace` is set, the last request of the queue is rejected in its place.
  */
 export type AdmissionDecision =
   | { readonly decision: "run" }
@@ -47,24 +47,24 @@
     readonly retryAfterMs: number;
   };
 
-/** Time, in ms, after which to come back where nothing better is known. */
+/** Retry-after time, in ms, while the completion rate is unknown. */
 export const DEFAULT_RETRY_AFTER_MS = 1_000;
 
 /**
- * Typical run times that must be left once a request's turn comes: with one,
- * a seventh of all runs ended too late at twice the load; see
- * docs/design/limits.md.
+ * Multiple of the typical run time that must remain before the deadline when a
+ * request leaves the queue. With a margin of 1, a seventh of all runs missed
+ * their deadline at twice the capacity; see docs/design/limits.md.
  */
 export const RUN_MARGIN = 3;
 
 /**
- * Decides whether a request runs, waits or is refused.
+ * Decides whether a request runs, is queued or is rejected.
  *
- * A request that would wait past its deadline is refused at once, with the
- * time after which the backlog will have gone. A full queue takes one that
- * goes before others: the last of those is refused instead.
+ * A request that would miss its deadline is rejected immediately, with the time
+ * that the backlog is expected to take. A full queue still accepts a request
+ * that is served before another: the last one in the queue is rejected instead.
  *
- * @param input - What is known.
+ * @param input - State of the entry and the request.
  * @returns The decision.
  * @throws Nothing.
  * @example
@@ -77,19 +77,19 @@
   }
   if (inFlight < maxInFlight && queued === 0) return { decision: "run" };
   const expectedWaitMs = estimateWaitMs(input, input.queuedAhead + 1);
-  const full = queued >= maxQueued;
-  if (full && !input.hasLater) return refuse("queue_full", expectedWaitMs);
-  const known = input.endedPerS > 0;
+  const isFull = queued >= maxQueued;
+  if (isFull && !input.hasLater) return refuse("queue_full", expectedWaitMs);
+  const hasThroughput = input.endedPerS > 0;
   const neededMs = expectedWaitMs + RUN_MARGIN * input.typicalRunMs;
-  if (known && neededMs > input.timeLeftMs) {
+  if (hasThroughput && neededMs > input.timeLeftMs) {
     return refuse("deadline_too_near", expectedWaitMs);
   }
-  return { decision: "queue", expectedWaitMs, displace: full };
+  return { decision: "queue", expectedWaitMs, displace: isFull };
 }
 
-function estimateWaitMs(input: AdmissionInput, ahead: number): number {
+function estimateWaitMs(input: AdmissionInput, position: number): number {
   if (input.endedPerS <= 0) return DEFAULT_RETRY_AFTER_MS;
-  return (ahead / input.endedPerS) * 1_000;
+  return (position / input.endedPerS) * 1_000;
 }
 
 function refuse(
--- a/src/limits/fair_queue.ts
+++ b/src/limits/fair_queue.ts
@@ -1,41 +1,41 @@
 /**
- * A queue that is fair among client accounts, by priority and deadline.
+ * Weighted fair queue over client accounts, ordered by priority and deadline.
  *
  * @module
  */
 
-/** A request that waits. */
+/** A queued request. */
 export interface QueuedRequest {
   readonly id: number;
   readonly clientAccount: string;
-  /** The client account's share under overload. */
+  /** The client account's relative share under overload. */
   readonly weight: number;
-  /** 9 goes first. */
+  /** Priority; 9 is served first. */
   readonly priority: number;
-  /** Time, in ms, after which nobody wants it. */
+  /** Time, in ms, at which the request expires. */
   readonly deadlineMs: number;
-  /** Virtual time at which it would end if all got their share. */
+  /** Virtual finish time: when it would end if every account got exactly its share. */
   readonly finish: number;
 }
 
-/** The queue; plain and immutable. */
+/** State of the queue; a plain immutable value. */
 export interface FairQueue {
   readonly waiting: readonly QueuedRequest[];
-  /** Virtual time: the finish of the last request that was taken. */
+  /** Virtual time: the highest finish of the requests dequeued so far. */
   readonly virtualTime: number;
-  /** Virtual finish of each client account's newest request. */
+  /** Virtual finish time of each client account's newest request. */
   readonly lastFinish: Readonly<Record<string, number>>;
 }
 
-/** A request taken from the queue, and those that are too late by now. */
-export interface TakenRequest {
+/** Result of a dequeue: the request, and those that expired in the queue. */
+export interface DequeueResult {
   readonly queue: FairQueue;
   readonly request: QueuedRequest | undefined;
   readonly expired: readonly QueuedRequest[];
 }
 
 /**
- * Makes an empty queue.
+ * Creates an empty queue.
  *
  * @returns The queue.
  * @throws Nothing.
@@ -47,11 +47,11 @@
 }
 
 /**
- * Adds a request.
+ * Adds a request to the queue.
  *
  * @param queue - The queue.
  * @param request - The request.
- * @returns The queue with it.
+ * @returns The queue with the request added.
  * @throws Nothing.
  * @example
  * const next = addToFairQueue(queue, request);
@@ -61,7 +61,7 @@
   request: Omit<QueuedRequest, "finish">,
 ): FairQueue {
   const { clientAccount } = request;
-  const finish = getFinish(queue, request);
+  const finish = computeFinish(queue, request);
   return {
     ...queue,
     waiting: [...queue.waiting, { ...request, finish }],
@@ -69,20 +69,20 @@
   };
 }
 
-/** Where a request that is not yet in the queue would stand. */
-export interface FairQueuePlace {
-  /** Requests that would go before it. */
+/** Position that a new request would have in the queue. */
+export interface FairQueuePosition {
+  /** Requests that would be served before it. */
   readonly ahead: number;
-  /** The request that goes last of all, if that is not the new one. */
+  /** The request that would be served last; undefined if that is the new one. */
   readonly last: QueuedRequest | undefined;
 }
 
 /**
- * Finds where a request that is not yet in the queue would stand.
+ * Finds the position that a new request would have in the queue.
  *
  * @param queue - The queue.
  * @param request - The request.
- * @returns How many go before it, and who would go last.
+ * @returns The number of requests before it, and the request that would be last.
  * @throws Nothing.
  * @example
  * const { ahead } = findFairQueuePlace(queue, request);
@@ -90,18 +90,18 @@
 export function findFairQueuePlace(
   queue: FairQueue,
   request: Omit<QueuedRequest, "finish">,
-): FairQueuePlace {
-  const placed = { ...request, finish: getFinish(queue, request) };
+): FairQueuePosition {
+  const candidate = { ...request, finish: computeFinish(queue, request) };
   let ahead = 0;
-  let last: QueuedRequest = placed;
+  let last: QueuedRequest = candidate;
   for (const item of queue.waiting) {
-    if (goesBefore(item, placed)) ahead += 1;
-    if (goesBefore(last, item)) last = item;
+    if (precedes(item, candidate)) ahead += 1;
+    if (precedes(last, item)) last = item;
   }
-  return { ahead, last: last === placed ? undefined : last };
+  return { ahead, last: last === candidate ? undefined : last };
 }
 
-function getFinish(
+function computeFinish(
   queue: FairQueue,
   request: Omit<QueuedRequest, "finish">,
 ): number {
@@ -110,12 +110,13 @@
 }
 
 /**
- * Takes the next request: the highest priority, then the client account that
- * is furthest behind its share, then the nearest deadline.
+ * Removes the next request: the highest priority first, then the client account
+ * that is furthest behind its share, then the earliest deadline. Also drops
+ * expired requests.
  *
  * @param queue - The queue.
  * @param nowMs - The time, in ms.
- * @returns The queue without it, the request, and those whose deadline passed.
+ * @returns The remaining queue, the request, and the expired requests.
  * @throws Nothing.
  * @example
  * const { queue: next, request } = takeFromFairQueue(queue, 1_000);
@@ -123,12 +124,12 @@
 export function takeFromFairQueue(
   queue: FairQueue,
   nowMs: number,
-): TakenRequest {
+): DequeueResult {
   const expired = queue.waiting.filter((item) => item.deadlineMs <= nowMs);
-  const alive = expired.length === 0
+  const pending = expired.length === 0
     ? queue.waiting
     : queue.waiting.filter((item) => item.deadlineMs > nowMs);
-  const request = findFirst(alive);
+  const request = findNext(pending);
   if (!request) {
     return {
       queue: { waiting: [], virtualTime: queue.virtualTime, lastFinish: {} },
@@ -136,17 +137,17 @@
       expired,
     };
   }
-  const waiting = alive.filter((item) => item !== request);
+  const waiting = pending.filter((item) => item !== request);
   const virtualTime = Math.max(queue.virtualTime, request.finish);
   return { queue: { ...queue, waiting, virtualTime }, request, expired };
 }
 
 /**
- * Removes a request that its caller gave up.
+ * Removes a request that its caller cancelled.
  *
  * @param queue - The queue.
  * @param id - The request's id.
- * @returns The queue without it.
+ * @returns The queue without the request.
  * @throws Nothing.
  * @example
  * const next = removeFromFairQueue(queue, 7);
@@ -155,17 +156,17 @@
   return { ...queue, waiting: queue.waiting.filter((item) => item.id !== id) };
 }
 
-function findFirst(
+function findNext(
   waiting: readonly QueuedRequest[],
 ): QueuedRequest | undefined {
   let first: QueuedRequest | undefined;
   for (const item of waiting) {
-    if (!first || goesBefore(item, first)) first = item;
+    if (!first || precedes(item, first)) first = item;
   }
   return first;
 }
 
-function goesBefore(a: QueuedRequest, b: QueuedRequest): boolean {
+function precedes(a: QueuedRequest, b: QueuedRequest): boolean {
   if (a.priority !== b.priority) return a.priority > b.priority;
   if (a.finish !== b.finish) return a.finish < b.finish;
   return a.deadlineMs < b.deadlineMs;
--- a/src/limits/index.ts
+++ b/src/limits/index.ts
@@ -1,5 +1,5 @@
 /**
- * Limits: leased shares of rates, admission, fair queues.
+ * Limits: leased shares of rate limits, token buckets, admission, fair queues.
  *
  * @module
  */
--- a/src/limits/limits_test.ts
+++ b/src/limits/limits_test.ts
@@ -30,7 +30,7 @@
   };
 }
 
-test("shares of a rate add up to it, whatever is asked for", () => {
+test("leased shares add up to the rate for any demand", () => {
   const demand = fc.float({ min: 0, max: 1_000, noNaN: true });
   fc.assert(
     fc.property(fc.array(demand, { minLength: 1, maxLength: 20 }), (perS) => {
@@ -46,7 +46,7 @@
   );
 });
 
-test("an entry that asks for little leaves the rest to the others", () => {
+test("capacity that an entry with low demand does not use goes to the others", () => {
   const shares = computeLeasedShares(100, [
     { entry: "a", demandPerS: 5 },
     { entry: "b", demandPerS: 500 },
@@ -55,7 +55,7 @@
   assert.ok(shares.a >= 5);
 });
 
-test("an empty bucket says when a token will be there", () => {
+test("an empty bucket returns the time until the next token", () => {
   const rate = { nowMs: 0, ratePerS: 2, burst: 1 };
   const first = takeToken(createTokenBucket(rate), rate);
   const second = takeToken(first.bucket, rate);
@@ -66,11 +66,11 @@
   assert.ok(takeToken(second.bucket, later).admitted);
 });
 
-test("a request runs at once while there is room", () => {
+test("a request runs immediately while there is free capacity", () => {
   assert.is(decideAdmission(makeInput()).decision, "run");
 });
 
-test("one that can't end in time is refused at once, with a time to come back", () => {
+test("a request that would miss its deadline is rejected with a retry-after time", () => {
   const decision = decideAdmission(
     makeInput({ inFlight: 10, queued: 4, queuedAhead: 4, timeLeftMs: 200 }),
   );
@@ -81,7 +81,7 @@
   });
 });
 
-test("a full queue refuses, unless the request goes before another", () => {
+test("a full queue rejects a request unless it ranks before a queued one", () => {
   const full = makeInput({ inFlight: 10, queued: 5, queuedAhead: 5 });
   const refused = decideAdmission(full);
   assert.is(refused.decision === "refuse" && refused.reason, "queue_full");
@@ -89,7 +89,7 @@
   assert.ok(taken.decision === "queue" && taken.displace);
 });
 
-test("a client account can't have more in flight than its share", () => {
+test("a client account cannot exceed its limit of requests in flight", () => {
   const decision = decideAdmission(makeInput({ accountInFlight: 100 }));
   assert.ok(
     decision.decision === "refuse" && decision.reason === "too_many_in_flight",
@@ -100,25 +100,25 @@
   return { id, clientAccount, weight: 1, priority, deadlineMs: 1e9 };
 }
 
-test("an empty queue gives nothing", () => {
+test("an empty queue returns no request", () => {
   assert.is(takeFromFairQueue(createFairQueue(), 0).request, undefined);
 });
 
-test("a small client account goes before the backlog of a large one", () => {
+test("a small client account is not stuck behind the backlog of a large one", () => {
   let queue = createFairQueue();
   for (let id = 1; id <= 10; id++) {
     queue = addToFairQueue(queue, makeItem(id, "large"));
   }
-  const place = findFairQueuePlace(queue, makeItem(11, "small"));
-  assert.ok(place.ahead <= 1);
-  assert.is(place.last?.id, 10);
+  const position = findFairQueuePlace(queue, makeItem(11, "small"));
+  assert.ok(position.ahead <= 1);
+  assert.is(position.last?.id, 10);
   queue = addToFairQueue(queue, makeItem(11, "small"));
   const first = takeFromFairQueue(queue, 0);
   const second = takeFromFairQueue(first.queue, 0);
   assert.ok([first.request?.id, second.request?.id].includes(11));
 });
 
-test("a higher priority goes first, what is too late is given up", () => {
+test("a higher priority is served first, and expired requests are dropped", () => {
   let queue = createFairQueue();
   queue = addToFairQueue(queue, makeItem(1, "a"));
   queue = addToFairQueue(queue, makeItem(2, "a", 9));
--- a/src/limits/token_bucket.ts
+++ b/src/limits/token_bucket.ts
@@ -1,33 +1,33 @@
 /**
- * A token bucket: a rate with a burst.
+ * Token bucket: a rate limit that allows bursts.
  *
  * @module
  */
 
-/** A bucket's filling; plain and immutable. */
+/** State of a bucket; a plain immutable value. */
 export interface TokenBucket {
   readonly tokens: number;
   readonly updatedMs: number;
 }
 
-/** A bucket's rate and size at the time. */
+/** The current time, and the rate and capacity of the bucket. */
 export interface TokenBucketOptions {
   readonly nowMs: number;
   readonly ratePerS: number;
-  /** Most tokens that it holds. */
+  /** Capacity of the bucket, in tokens. */
   readonly burst: number;
 }
 
-/** What became of a request for a token. */
-export interface TakenToken {
+/** Result of {@link takeToken}. */
+export interface TakeTokenResult {
   readonly bucket: TokenBucket;
   readonly admitted: boolean;
-  /** Time, in ms, after which a token will be there; 0 where one was. */
+  /** Time, in ms, until a token is available; 0 if one was taken. */
   readonly retryAfterMs: number;
 }
 
 /**
- * Makes a full bucket.
+ * Creates a full bucket.
  *
  * @param options - The time, the rate and the burst.
  * @returns The bucket.
@@ -40,11 +40,11 @@
 }
 
 /**
- * Takes a token, if there is one.
+ * Takes a token if one is available.
  *
  * @param bucket - The bucket.
- * @param options - The time, the rate and the burst now in force.
- * @returns The bucket after it, and whether a token was there.
+ * @param options - The time, and the rate and burst that apply now.
+ * @returns The new bucket state, and whether a token was taken.
  * @throws Nothing.
  * @example
  * const { admitted } = takeToken(bucket, { nowMs: 5, ratePerS: 10, burst: 10 });
@@ -52,7 +52,7 @@
 export function takeToken(
   bucket: TokenBucket,
   options: TokenBucketOptions,
-): TakenToken {
+): TakeTokenResult {
   const { nowMs, ratePerS, burst } = options;
   const elapsedS = Math.max(0, nowMs - bucket.updatedMs) / 1_000;
   const tokens = Math.min(burst, bucket.tokens + elapsedS * ratePerS);
--- a/src/retry/classify_failure.ts
+++ b/src/retry/classify_failure.ts
@@ -1,5 +1,5 @@
 /**
- * What a failed dispatch means for the request.
+ * Classifies failed dispatches by whether the request may have run.
  *
  * @module
  */
@@ -7,24 +7,24 @@
 import type { DispatchFailure, FailureVerdict } from "./types.ts";
 
 /**
- * Says what a failed dispatch means.
+ * Classifies a failed dispatch.
  *
- * `not_run` only where no byte can have reached the upstream, or the upstream
- * itself says that it did not run the request. A server error is a known bad
- * end; everything else may have run.
+ * The outcome is `not_run` only if no byte can have reached the upstream, or if
+ * the upstream reported that it did not run the request. A server error is
+ * `failed`. In every other case the request may have run: `unknown`.
  *
- * @param failure - How far the dispatch had come, and why it failed.
- * @returns The outcome, the reason, and whether a retry can't run it twice.
+ * @param failure - The phase in which the dispatch failed, and the cause.
+ * @returns The outcome, the reason, and whether a retry is safe.
  * @throws Nothing.
  * @example
  * classifyFailure({ phase: "connecting", fault: "refused" }).outcome; // "not_run"
  */
 export function classifyFailure(failure: DispatchFailure): FailureVerdict {
-  const { phase, fault, saidNotRun = false } = failure;
+  const { phase, fault, saidNotRun: isNotRun = false } = failure;
   if (phase === "connecting") {
     return { outcome: "not_run", reason: "connect_failed", safeToRetry: true };
   }
-  if (saidNotRun) {
+  if (isNotRun) {
     return {
       outcome: "not_run",
       reason: "upstream_refused",
--- a/src/retry/classify_failure_test.ts
+++ b/src/retry/classify_failure_test.ts
@@ -19,21 +19,26 @@
     true,
   ],
   [
-    "reset before the first byte",
+    "reset before the first byte of the response",
     { phase: "sent", fault: "reset" },
     "unknown",
     false,
   ],
-  ["half-sent body", { phase: "sent", fault: "reset" }, "unknown", false],
-  ["no answer in time", { phase: "sent", fault: "timeout" }, "unknown", false],
+  ["partially sent body", { phase: "sent", fault: "reset" }, "unknown", false],
   [
-    "reset within the answer",
+    "timeout while waiting for the response",
+    { phase: "sent", fault: "timeout" },
+    "unknown",
+    false,
+  ],
+  [
+    "reset in the middle of the response",
     { phase: "answering", fault: "reset" },
     "unknown",
     false,
   ],
   [
-    "silence within the answer",
+    "timeout in the middle of the response",
     { phase: "answering", fault: "timeout" },
     "unknown",
     false,
@@ -45,7 +50,7 @@
     false,
   ],
   [
-    "upstream's own refusal",
+    "rejection that the upstream reports as not run",
     {
       phase: "answering",
       fault: "upstream_said",
@@ -58,7 +63,7 @@
 ];
 
 for (const [name, failure, outcome, safeToRetry] of ROWS) {
-  test(`a ${name} is ${outcome}`, () => {
+  test(`classified as ${outcome}: ${name}`, () => {
     const verdict = classifyFailure(failure);
     assert.is(verdict.outcome, outcome);
     assert.is(verdict.safeToRetry, safeToRetry);
--- a/src/retry/decide_retry.ts
+++ b/src/retry/decide_retry.ts
@@ -1,5 +1,5 @@
 /**
- * Whether a failed dispatch is tried again, and when.
+ * Decides whether a failed dispatch is retried, and after which delay.
  *
  * @module
  */
@@ -7,15 +7,15 @@
 import { getRetryWaitMs } from "./get_retry_wait_ms.ts";
 import type { FailureVerdict } from "./types.ts";
 
-/** What is known of the request. */
-export interface RetryRequest {
-  /** Tries made so far. */
+/** State of the request that failed. */
+export interface RetryContext {
+  /** Attempts made so far. */
   readonly tries: number;
-  /** Whether a second run does no harm. */
+  /** Whether the request is idempotent, so that running it twice is harmless. */
   readonly repeatable: boolean;
-  /** Whether the caller was already sent part of the answer. */
+  /** Whether part of the response was already sent to the caller. */
   readonly answerBegun: boolean;
-  /** Time, in ms, at which the caller no longer wants it. */
+  /** The caller's deadline, as a time in ms. */
   readonly deadlineMs: number;
 }
 
@@ -24,21 +24,21 @@
   readonly nowMs: number;
   /** A number in [0, 1). */
   readonly random: number;
-  readonly maxTries?: number;
+  readonly attemptLimit?: number;
   readonly baseBackoffMs?: number;
   readonly maxBackoffMs?: number;
 }
 
-/** Tries at most, the first among them. */
-export const MAX_TRIES = 3;
+/** Maximum number of attempts, including the first. */
+export const MAX_ATTEMPTS = 3;
 
-/** Longest wait before the second try, in ms; doubled by each further one. */
+/** Maximum delay before the second attempt, in ms; doubles with each further attempt. */
 export const BASE_BACKOFF_MS = 20;
 
-/** Longest wait before any try, in ms. */
+/** Maximum delay before any attempt, in ms. */
 export const MAX_BACKOFF_MS = 1_000;
 
-/** A retry after a wait, or none and why. */
+/** Retry after a delay, or the reason not to retry. */
 export type RetryDecision =
   | { readonly retry: true; readonly afterMs: number }
   | {
@@ -47,15 +47,15 @@
   };
 
 /**
- * Decides whether a failed dispatch is tried again.
+ * Decides whether a failed dispatch is retried.
  *
- * What is not repeatable is tried again only where the first try surely did
- * not run. Waits are drawn evenly between nothing and a bound that doubles, so
- * that callers that failed together do not come back together.
+ * A request that is not repeatable is retried only if the earlier attempt
+ * certainly did not run. The delay is exponential back-off with full jitter, so
+ * that callers that failed at the same time do not retry at the same time.
  *
- * @param verdict - What the failure means.
- * @param request - What is known of the request.
- * @param options - The time, a random number, the bounds.
+ * @param verdict - Classification of the failure.
+ * @param context - State of the request.
+ * @param options - The time, a random number, the limits.
  * @returns The decision.
  * @throws Nothing.
  * @example
@@ -63,27 +63,27 @@
  */
 export function decideRetry(
   verdict: FailureVerdict,
-  request: RetryRequest,
+  context: RetryContext,
   options: DecideRetryOptions,
 ): RetryDecision {
   const {
     nowMs,
     random,
-    maxTries = MAX_TRIES,
+    attemptLimit = MAX_ATTEMPTS,
     baseBackoffMs = BASE_BACKOFF_MS,
     maxBackoffMs = MAX_BACKOFF_MS,
   } = options;
-  if (request.answerBegun) return { retry: false, why: "answer_begun" };
-  if (!verdict.safeToRetry && !request.repeatable) {
+  if (context.answerBegun) return { retry: false, why: "answer_begun" };
+  if (!verdict.safeToRetry && !context.repeatable) {
     return { retry: false, why: "may_have_run" };
   }
-  if (request.tries >= maxTries) return { retry: false, why: "tries_used" };
-  const afterMs = getRetryWaitMs(request.tries, {
+  if (context.tries >= attemptLimit) return { retry: false, why: "tries_used" };
+  const afterMs = getRetryWaitMs(context.tries, {
     firstMs: baseBackoffMs,
     maxMs: maxBackoffMs,
     random: () => random,
   });
-  if (nowMs + afterMs >= request.deadlineMs) {
+  if (nowMs + afterMs >= context.deadlineMs) {
     return { retry: false, why: "deadline" };
   }
   return { retry: true, afterMs };
--- a/src/retry/get_retry_wait_ms.ts
+++ b/src/retry/get_retry_wait_ms.ts
@@ -1,26 +1,27 @@
 /**
- * How long to wait before a peer is asked again.
+ * Retry delay with exponential back-off.
  *
  * @module
  */
 
 /** Options of {@link getRetryWaitMs}. */
 export interface GetRetryWaitOptions {
-  /** Longest wait, in ms, after the first failure. */
+  /** Maximum delay, in ms, after the first failure. */
   readonly firstMs: number;
-  /** Longest wait, in ms, after any number of failures. */
+  /** Maximum delay, in ms, after any number of failures. */
   readonly maxMs: number;
-  /** A number in [0, 1). */
+  /** Returns a random number in [0, 1). */
   readonly random: () => number;
 }
 
 /**
- * Gets the wait before the next try: exponential back-off with full jitter, so that
- * those that failed together don't come back together.
+ * Computes the delay before the next attempt: exponential back-off with full
+ * jitter, so that callers that failed at the same time do not retry at the same
+ * time.
  *
- * @param failures - Failures in a row, at least one.
- * @param options - The bounds and the random numbers.
- * @returns The wait, in ms.
+ * @param failures - Consecutive failures, at least one.
+ * @param options - The limits and the source of random numbers.
+ * @returns The delay, in ms.
  * @throws Nothing.
  * @example
  * const waitMs = getRetryWaitMs(3, { firstMs: 100, maxMs: 2_000, random });
--- a/src/retry/index.ts
+++ b/src/retry/index.ts
@@ -1,5 +1,5 @@
 /**
- * Retries: what a failure means, whether to try again, the budget.
+ * Retries: classification of failures, the retry decision, back-off, the budget.
  *
  * @module
  */
--- a/src/retry/retry_budget.ts
+++ b/src/retry/retry_budget.ts
@@ -1,33 +1,33 @@
 /**
- * A budget that keeps retries a small part of the load.
+ * Retry budget: limits retries to a small fraction of the load.
  *
  * @module
  */
 
-/** Retries that may still be made; plain and immutable. */
+/** State of the budget; a plain immutable value. */
 export interface RetryBudget {
-  /** Retries saved up; each retry spends one. */
+  /** Retries available; each retry spends one token. */
   readonly tokens: number;
 }
 
-/** Options of the budget's functions. */
+/** Options of {@link createRetryBudget} and {@link earnRetry}. */
 export interface RetryBudgetOptions {
-  /** Retries earned by each first try. */
+  /** Tokens earned by each first attempt. */
   readonly ratio?: number;
-  /** Most retries that are saved up. */
+  /** Maximum number of tokens. */
   readonly maxTokens?: number;
 }
 
-/** Retries earned by each first try: at most a tenth of extra load. */
+/** Tokens earned by each first attempt: retries add at most a tenth to the load. */
 export const RETRY_RATIO = 0.1;
 
-/** Retries saved up at most: enough for the death of one stage of many. */
+/** Maximum number of tokens: enough for the crash of one stage among many. */
 export const MAX_RETRY_TOKENS = 50;
 
 /**
- * Makes a budget with its savings full.
+ * Creates a full budget.
  *
- * @param options - The most that is saved up.
+ * @param options - The maximum number of tokens.
  * @returns The budget.
  * @throws Nothing.
  * @example
@@ -40,11 +40,11 @@
 }
 
 /**
- * Counts a first try.
+ * Adds the tokens that a first attempt earns.
  *
  * @param budget - The budget.
- * @param options - What a first try earns.
- * @returns The budget after it.
+ * @param options - The tokens earned and the maximum.
+ * @returns The budget after the attempt.
  * @throws Nothing.
  * @example
  * const next = earnRetry(budget);
@@ -61,7 +61,7 @@
  * Spends one retry.
  *
  * @param budget - The budget.
- * @returns The budget after it, or undefined where nothing is left.
+ * @returns The budget after the retry, or undefined if it is exhausted.
  * @throws Nothing.
  * @example
  * const next = spendRetry(budget);
--- a/src/retry/types.ts
+++ b/src/retry/types.ts
@@ -1,5 +1,5 @@
 /**
- * How a dispatch can fail and what follows from it.
+ * Types for failed dispatches and their classification.
  *
  * @module
  */
@@ -7,35 +7,35 @@
 import type { RetryReason } from "../metrics/index.ts";
 import type { Outcome } from "../model/index.ts";
 
-/** How far a dispatch had come when it failed. */
+/** Phase in which a dispatch failed. */
 export type DispatchPhase =
-  /** No connection stood; no byte can have arrived. */
+  /** No connection was established; no byte can have reached the upstream. */
   | "connecting"
-  /** The request was being written, or was written and not answered. */
+  /** The request was being sent, or was sent and no response had started. */
   | "sent"
-  /** The answer had begun. */
+  /** The response had started. */
   | "answering";
 
-/** Why it failed. */
+/** Cause of a failed dispatch; `upstream_said`: the upstream returned an error. */
 export type DispatchFault = "refused" | "reset" | "timeout" | "upstream_said";
 
 /** A failed dispatch. */
 export interface DispatchFailure {
   readonly phase: DispatchPhase;
   readonly fault: DispatchFault;
-  /** The upstream's own word, where it answered: it did not run the request. */
+  /** Whether the upstream reported in its response that it did not run the request. */
   readonly saidNotRun?: boolean;
-  /** HTTP status, where there was one. */
+  /** HTTP status, if there was a response. */
   readonly status?: number;
-  /** Ms for which the upstream wants no new work, where it asked for a back-off. */
+  /** Back-off in ms that the upstream asked for, if any: no new work for this long. */
   readonly backOffMs?: number;
 }
 
-/** What follows from a failed dispatch. */
+/** Classification of a failed dispatch. */
 export interface FailureVerdict {
-  /** How the request ends if it is not tried again. */
+  /** Outcome of the request if it is not retried. */
   readonly outcome: Outcome;
   readonly reason: RetryReason;
-  /** Whether a second run can't follow a first. */
+  /** Whether a retry cannot run the request twice. */
   readonly safeToRetry: boolean;
 }
