--- a/src/routing/choose_chain.ts
+++ b/src/routing/choose_chain.ts
@@ -1,34 +1,33 @@
 /**
- * The choice of a chain of stages for a model request.
+ * Chooses a chain of pipeline stages for a model request.
  *
  * @module
  */
 
-import { listUsable } from "./list_usable.ts";
+import { listUsableUpstreams } from "./list_usable_upstreams.ts";
 import { scoreUpstream } from "./score_upstream.ts";
 import type { RoutingOptions, UpstreamView } from "./types.ts";
 
-/** Part, at most, by which a score is varied to spread equal choices. */
-const SPREAD = 0.02;
+/** Maximum relative jitter on a score; spreads load over upstreams with equal scores. */
+const SCORE_JITTER = 0.02;
 
-/** One link of the best chain up to a layer. */
-interface Link {
+/** Last stage and total cost of the cheapest chain that ends at a layer. */
+interface ChainNode {
   readonly costMs: number;
   readonly view?: UpstreamView;
 }
 
 /**
- * Chooses stages that cover all layers with the least expected time.
+ * Chooses stages that cover all layers with the lowest expected time.
  *
- * Layers are nodes, upstreams are edges from their first layer to the one
- * after their last; the chain is the shortest path. Since the entry drives
- * each hop itself, an edge's cost depends on that upstream alone.
+ * This is a shortest path: layers are the nodes, and each upstream is an edge
+ * from its first layer to the one after its last. Since the entry itself drives
+ * each hop, the cost of an edge depends on that upstream alone.
  *
- * @param views - What is known of the upstreams; those without layers are
- * left out.
- * @param layerCount - Layers of the model.
- * @param options - The time, a random number, those that were tried.
- * @returns The stages in order, or undefined where layers are not covered.
+ * @param views - The upstreams; those without layers are ignored.
+ * @param layerCount - Number of layers of the model.
+ * @param options - The time, a random number, the upstreams already tried.
+ * @returns The stages in order, or undefined if some layer is not covered.
  * @throws Nothing.
  * @example
  * const chain = chooseChain(views, 32, { nowMs: 0, random: 0.5 });
@@ -39,22 +38,22 @@
   options: RoutingOptions,
 ): readonly UpstreamView[] | undefined {
   const { random } = options;
-  const byStart = groupByStart(listUsable(views, options));
-  const best: (Link | undefined)[] = new Array(layerCount + 1);
-  best[0] = { costMs: 0 };
+  const byStart = groupByStart(listUsableUpstreams(views, options));
+  const bestAt: (ChainNode | undefined)[] = new Array(layerCount + 1);
+  bestAt[0] = { costMs: 0 };
   for (let layer = 0; layer < layerCount; layer++) {
-    const reached = best[layer];
+    const reached = bestAt[layer];
     if (!reached) continue;
     (byStart.get(layer) ?? []).forEach((view, at) => {
       const end = view.layers?.end ?? 0;
       if (end > layerCount) return;
-      const spread = 1 + SPREAD * ((random * 997 + at * 0.618) % 1);
-      const costMs = reached.costMs + scoreUpstream(view, options) * spread;
-      const known = best[end];
-      if (!known || costMs < known.costMs) best[end] = { costMs, view };
+      const jitter = 1 + SCORE_JITTER * ((random * 997 + at * 0.618) % 1);
+      const costMs = reached.costMs + scoreUpstream(view, options) * jitter;
+      const current = bestAt[end];
+      if (!current || costMs < current.costMs) bestAt[end] = { costMs, view };
     });
   }
-  return readChain(best, layerCount);
+  return buildChain(bestAt, layerCount);
 }
 
 function groupByStart(
@@ -70,14 +69,14 @@
   return byStart;
 }
 
-function readChain(
-  best: readonly (Link | undefined)[],
+function buildChain(
+  bestAt: readonly (ChainNode | undefined)[],
   layerCount: number,
 ): readonly UpstreamView[] | undefined {
   const chain: UpstreamView[] = [];
   let layer = layerCount;
   while (layer > 0) {
-    const view = best[layer]?.view;
+    const view = bestAt[layer]?.view;
     if (!view?.layers) return undefined;
     chain.unshift(view);
     layer = view.layers.start;
--- a/src/routing/choose_upstream.ts
+++ b/src/routing/choose_upstream.ts
@@ -1,23 +1,23 @@
 /**
- * The choice of an upstream for a plain request.
+ * Chooses an upstream for a plain request.
  *
  * @module
  */
 
 import { TIE_FACTOR } from "./constants.ts";
-import { listUsable } from "./list_usable.ts";
+import { listUsableUpstreams } from "./list_usable_upstreams.ts";
 import { scoreUpstream } from "./score_upstream.ts";
 import type { RoutingOptions, UpstreamView } from "./types.ts";
 
 /**
- * Chooses the upstream with the least expected time.
+ * Chooses the upstream with the lowest expected time.
  *
- * Among those that are as good as the best, one is drawn, so that entries that
- * know the same do not all choose the same.
+ * Ties are broken at random, so that entries with the same view of the load do
+ * not all choose the same upstream.
  *
- * @param views - What is known of the upstreams.
- * @param options - The time, a random number, those that were tried.
- * @returns The upstream, or undefined where none may get it.
+ * @param views - The upstreams.
+ * @param options - The time, a random number, the upstreams already tried.
+ * @returns The upstream, or undefined if none is usable.
  * @throws Nothing.
  * @example
  * const chosen = chooseUpstream(views, { nowMs: 0, random: 0.5 });
@@ -26,14 +26,14 @@
   views: readonly UpstreamView[],
   options: RoutingOptions,
 ): UpstreamView | undefined {
-  let best = Infinity;
-  let equals: UpstreamView[] = [];
-  for (const view of listUsable(views, options)) {
+  let bestScore = Infinity;
+  let candidates: UpstreamView[] = [];
+  for (const view of listUsableUpstreams(views, options)) {
     const score = scoreUpstream(view, options);
-    if (score > best * TIE_FACTOR) continue;
-    if (score * TIE_FACTOR < best) equals = [];
-    best = Math.min(best, score);
-    equals.push(view);
+    if (score > bestScore * TIE_FACTOR) continue;
+    if (score * TIE_FACTOR < bestScore) candidates = [];
+    bestScore = Math.min(bestScore, score);
+    candidates.push(view);
   }
-  return equals[Math.floor(options.random * equals.length)];
+  return candidates[Math.floor(options.random * candidates.length)];
 }
--- a/src/routing/compute_entry_intervals.ts
+++ b/src/routing/compute_entry_intervals.ts
@@ -1,32 +1,33 @@
 /**
- * The places of all entries on the ring of capacity.
+ * Assigns each entry an interval on the capacity ring.
  *
  * @module
  */
 
 import type { CapacityInterval } from "./compute_interval_shares.ts";
 
-/** What one entry is asked for. */
+/** Demand at one entry. */
 export interface EntryLoad {
   readonly entry: string;
-  /** Requests a second, or any measure that is the same at all entries. */
+  /** Requests per second, or any other unit that is the same at all entries. */
   readonly demandPerS: number;
 }
 
 /** Options of {@link computeEntryIntervals}. */
 export interface ComputeEntryIntervalsOptions {
-  /** Part of the mean that an entry without demand is given. */
+  /** Minimum demand that an entry is assumed to have, as a fraction of the mean. */
   readonly floor?: number;
 }
 
-/** Part of the mean demand that an idle entry is given, for its first callers. */
+/** Default minimum; it reserves capacity for the first callers of an idle entry. */
 export const DEFAULT_INTERVAL_FLOOR = 0.25;
 
 /**
- * Computes the places of all entries on the ring of capacity.
+ * Computes the interval of each entry on the capacity ring, in proportion to its
+ * demand.
  *
- * @param loads - What each live entry is asked for.
- * @param options - What an idle entry is given.
+ * @param loads - The demand at each live entry.
+ * @param options - The minimum for an idle entry.
  * @returns Each entry's interval; together they cover the ring.
  * @throws Nothing.
  * @example
@@ -39,8 +40,10 @@
   const { floor = DEFAULT_INTERVAL_FLOOR } = options;
   const ordered = [...loads].sort((a, b) => a.entry < b.entry ? -1 : 1);
   const total = ordered.reduce((sum, { demandPerS }) => sum + demandPerS, 0);
-  const least = total === 0 ? 1 : (total / ordered.length) * floor;
-  const weights = ordered.map(({ demandPerS }) => Math.max(least, demandPerS));
+  const minWeight = total === 0 ? 1 : (total / ordered.length) * floor;
+  const weights = ordered.map(({ demandPerS }) =>
+    Math.max(minWeight, demandPerS)
+  );
   const weightSum = weights.reduce((sum, weight) => sum + weight, 0);
   let begin = 0;
   const pairs = ordered.map(({ entry }, at) => {
--- a/src/routing/compute_interval_shares.ts
+++ b/src/routing/compute_interval_shares.ts
@@ -1,51 +1,53 @@
 /**
- * Which part of each upstream an entry may count on.
+ * Computes which share of each upstream an entry may use.
  *
  * @module
  */
 
-/** An upstream as far as shares are concerned. */
+/** What the computation of shares needs to know of an upstream. */
 export interface SharedUpstream {
   readonly name: string;
-  /** Work that it does in a second. */
+  /** Work per second that the upstream can do. */
   readonly speedPerS: number;
 }
 
-/** An entry's place on the ring of all capacity. */
+/** An entry's interval on the capacity ring. */
 export interface CapacityInterval {
-  /** Middle of the entry's part, from 0 to 1. */
+  /** Middle of the interval, from 0 to 1. */
   readonly middle: number;
-  /** The entry's part of all demand, from 0 to 1. */
+  /** The entry's fraction of the total demand, from 0 to 1. */
   readonly part: number;
 }
 
-/** An entry's place on the ring of each pool's capacity, by pool. */
+/** An entry's interval on the capacity ring of each pool, by pool. */
 export type CapacityIntervals = Readonly<Record<string, CapacityInterval>>;
 
 /** Options of {@link computeIntervalShares}. */
 export interface ComputeIntervalSharesOptions {
-  /** Upstreams that an entry shall at least have a share of. */
+  /** Minimum number of upstreams that an entry's interval covers. */
   readonly minUpstreams?: number;
 }
 
 /**
- * Upstreams that an entry has at least a share of. Fewer lose to chance what
- * they gain by being known exactly; from 6 to 10 the runs differ little.
+ * Minimum number of upstreams that an entry has a share of. With fewer, random
+ * fluctuations of the load cost more than exact knowledge of it gains; 6 to 10
+ * perform much the same.
  */
 export const MIN_SHARED_UPSTREAMS = 8;
 
 /**
- * Computes the part of each upstream that an entry may count on.
+ * Computes the share of each upstream that an entry may use.
  *
- * The capacity of all upstreams, laid end to end, is a ring; an entry's part
- * of the demand is an interval of it, widened so that it covers a few
- * upstreams. An upstream is then shared by few entries, each of which knows
- * most of its load exactly and at once, which no lagging report can give.
+ * The capacities of all upstreams, laid end to end, form a ring. An entry's
+ * fraction of the demand is an interval on it, widened to cover a minimum number
+ * of upstreams. Each upstream is then shared by only a few entries, and each of
+ * these knows most of the upstream's load exactly and without the delay of a
+ * load report.
  *
  * @param upstreams - All upstreams, in the same order at every entry.
- * @param interval - The entry's place on the ring.
- * @param options - How many upstreams it shall at least cover.
- * @returns The part of each upstream, from 0 to 1, in the order given.
+ * @param interval - The entry's interval on the ring.
+ * @param options - The minimum number of upstreams to cover.
+ * @returns The share of each upstream, from 0 to 1, in the given order.
  * @throws Nothing.
  * @example
  * const shares = computeIntervalShares(upstreams, { middle: 0.5, part: 0.1 });
@@ -59,13 +61,13 @@
   const { middle, part } = interval;
   const total = upstreams.reduce((sum, { speedPerS }) => sum + speedPerS, 0);
   const width = Math.min(1, Math.max(part, minUpstreams / upstreams.length));
-  const from = middle - width / 2;
+  const windowBegin = middle - width / 2;
   let begin = 0;
   return upstreams.map(({ speedPerS }) => {
     const end = begin + speedPerS / total;
     const overlap = getRingOverlap({ begin, end }, {
-      begin: from,
-      end: from + width,
+      begin: windowBegin,
+      end: windowBegin + width,
     });
     const share = (overlap / (end - begin)) * (part / width);
     begin = end;
@@ -73,16 +75,16 @@
   });
 }
 
-interface Span {
+interface Arc {
   readonly begin: number;
   readonly end: number;
 }
 
-function getRingOverlap(fixed: Span, moving: Span): number {
+function getRingOverlap(fixed: Arc, window: Arc): number {
   let overlap = 0;
-  for (const turn of [-1, 0, 1]) {
-    const begin = Math.max(fixed.begin, moving.begin + turn);
-    const end = Math.min(fixed.end, moving.end + turn);
+  for (const offset of [-1, 0, 1]) {
+    const begin = Math.max(fixed.begin, window.begin + offset);
+    const end = Math.min(fixed.end, window.end + offset);
     overlap += Math.max(0, end - begin);
   }
   return overlap;
--- a/src/routing/constants.ts
+++ b/src/routing/constants.ts
@@ -1,24 +1,24 @@
 /**
- * Constants of routing and how each was come by; docs/design/routing.md has
- * the runs.
+ * Constants of upstream selection; docs/design/routing.md has the measurements
+ * behind them.
  *
  * @module
  */
 
-/** Time, in ms, over which a newcomer's share grows to its full size. */
+/** Time, in ms, over which a new upstream's share ramps up to its full size. */
 export const SLOW_START_MS = 10_000;
 
-/** Part of its share that a newcomer gets at once. */
-export const SLOW_START_FLOOR = 0.1;
+/** Fraction of its share that a new upstream gets at the start of the ramp-up. */
+export const MIN_SLOW_START_FACTOR = 0.1;
 
-/** Part of the upstreams that must stay in use whatever was ejected. */
-export const MIN_USABLE_PART = 0.5;
+/** Ejections are ignored if fewer than this fraction of the upstreams would remain. */
+export const MIN_USABLE_FRACTION = 0.5;
 
-/** Scores within this factor of the best are taken as equal. */
+/** Scores within this factor of the best count as ties. */
 export const TIE_FACTOR = 1.001;
 
 /**
- * Least share that counts: an upstream outside the entry's interval is taken
- * only when nothing inside is left, or far behind.
+ * Lower bound of a share in the score: an upstream outside the entry's interval
+ * is chosen only if all those inside are unusable or heavily loaded.
  */
 export const MIN_SHARE = 0.001;
--- a/src/routing/find_back_off_left_ms.ts
+++ b/src/routing/find_back_off_left_ms.ts
@@ -1,24 +1,25 @@
 /**
- * When the end of back-offs makes a choice possible again.
+ * Computes how long back-offs keep a request from being sent.
  *
  * @module
  */
 
 import type { UpstreamView } from "./types.ts";
 
-/** The time, and what is to be possible. */
+/** Options of {@link findBackOffLeftMs}. */
 export interface FindBackOffLeftOptions {
   readonly nowMs: number;
-  /** Whether a request could be sent at a time, in ms. */
+  /** Whether a request could be sent at the given time, in ms. */
   readonly canSend: (atMs: number) => boolean;
 }
 
 /**
- * Finds the time until the first end of a back-off from which on a request can be sent.
+ * Finds the time until the earliest end of a back-off at which a request can be
+ * sent.
  *
- * @param views - The upstreams of which one or several have to take it.
- * @param options - The time, and what is to be possible.
- * @returns Ms; undefined where no back-off is in the way.
+ * @param views - The upstreams that may serve the request, alone or as a chain.
+ * @param options - The time, and the check whether a request can be sent.
+ * @returns The time in ms, or undefined if the end of no back-off would help.
  * @throws Nothing.
  * @example
  * const canSend = (nowMs) => chooseUpstream(views, { nowMs, random }) !== undefined;
--- a/src/routing/index.ts
+++ b/src/routing/index.ts
@@ -1,5 +1,5 @@
 /**
- * Routing: which entry, which upstream, which chain of stages.
+ * Routing: the choice of an entry, an upstream, or a chain of stages.
  *
  * @module
  */
@@ -10,7 +10,7 @@
 export * from "./compute_interval_shares.ts";
 export * from "./constants.ts";
 export * from "./find_back_off_left_ms.ts";
-export * from "./list_usable.ts";
+export * from "./list_usable_upstreams.ts";
 export * from "./rank_by_rendezvous.ts";
 export * from "./rank_entries.ts";
 export * from "./score_upstream.ts";
--- a/src/routing/list_usable.ts
+++ b/src/routing/list_usable_upstreams.ts
@@ -1,39 +1,39 @@
 /**
- * The upstreams that may get a request.
+ * Filters the upstreams to which a request may be sent.
  *
  * @module
  */
 
-import { MIN_USABLE_PART } from "./constants.ts";
+import { MIN_USABLE_FRACTION } from "./constants.ts";
 import type { RoutingOptions, UpstreamView } from "./types.ts";
 
 /**
- * Lists the upstreams that may get a request.
+ * Lists the upstreams to which a request may be sent.
  *
- * Those that are closed never do, nor those that asked for a back-off while it lasts: what
- * they were sent they would turn away. Ejected ones are left out only while enough
- * others with the same layers remain: an ejection can't empty a service, nor
- * a stage. Those that were tried
- * already are left out unless there is nobody else.
+ * Closed upstreams are never usable. Nor are those that asked for a back-off
+ * while it lasts, since they would reject the request. Ejected upstreams are
+ * excluded only while enough others with the same layers remain, so that
+ * ejections cannot leave a service or a stage without upstreams. Upstreams that
+ * were already tried are excluded unless there is no other.
  *
  * @param views - All upstreams.
- * @param options - The time, and those that were tried.
- * @returns Those that may get it.
+ * @param options - The time, and the upstreams already tried.
+ * @returns The usable upstreams.
  * @throws Nothing.
  * @example
  * const usable = listUsable(views, { nowMs: 0, random: 0 });
  */
-export function listUsable(
+export function listUsableUpstreams(
   views: readonly UpstreamView[],
   options: RoutingOptions,
 ): readonly UpstreamView[] {
   const { nowMs, exclude } = options;
-  if (views.every((view) => isSound(view, nowMs)) && !exclude?.size) {
+  if (views.every((view) => isHealthy(view, nowMs)) && !exclude?.size) {
     return views;
   }
-  // Upstreams with other layers can't stand in: each range is on its own.
+  // Upstreams with other layers are no substitute: each layer range is filtered alone.
   return [...groupByLayers(views).values()].flatMap((group) =>
-    listUsableOfGroup(group, options)
+    listUsableInGroup(group, options)
   );
 }
 
@@ -50,22 +50,24 @@
   return groups;
 }
 
-function listUsableOfGroup(
+function listUsableInGroup(
   group: readonly UpstreamView[],
   options: RoutingOptions,
 ): readonly UpstreamView[] {
   const { nowMs, exclude } = options;
-  const open = group.filter((view) =>
+  const available = group.filter((view) =>
     !view.closed && !isBackedOff(view, nowMs)
   );
-  const sound = open.filter((view) => isSound(view, nowMs));
-  const usable = sound.length >= open.length * MIN_USABLE_PART ? sound : open;
+  const healthy = available.filter((view) => isHealthy(view, nowMs));
+  const usable = healthy.length >= available.length * MIN_USABLE_FRACTION
+    ? healthy
+    : available;
   if (!exclude?.size) return usable;
   const untried = usable.filter((view) => !exclude.has(view.name));
   return untried.length > 0 ? untried : usable;
 }
 
-function isSound(view: UpstreamView, nowMs: number): boolean {
+function isHealthy(view: UpstreamView, nowMs: number): boolean {
   return !view.closed && view.ejectedUntilMs <= nowMs &&
     !isBackedOff(view, nowMs);
 }
--- a/src/routing/rank_by_rendezvous.ts
+++ b/src/routing/rank_by_rendezvous.ts
@@ -7,12 +7,12 @@
 import { createHash } from "node:crypto";
 
 /**
- * Orders names for a key: each key has an order of its own, in which little
- * moves when names come and go.
+ * Orders names for a key. Each key has its own order, which changes little when
+ * names are added or removed.
  *
  * @param names - The names.
- * @param key - What they are ranked for.
- * @returns The names, the first choice first.
+ * @param key - The key to rank the names for.
+ * @returns The names, in order of preference.
  * @throws Nothing.
  * @example
  * const [first] = rankByRendezvous(["vm-1", "vm-2"], "engine-7");
@@ -22,11 +22,11 @@
   key: string,
 ): string[] {
   return names
-    .map((name) => ({ name, weight: weigh(`${key}\n${name}`) }))
+    .map((name) => ({ name, weight: computeWeight(`${key}\n${name}`) }))
     .sort((a, b) => a.weight < b.weight ? 1 : -1)
     .map(({ name }) => name);
 }
 
-function weigh(text: string): string {
+function computeWeight(text: string): string {
   return createHash("sha256").update(text).digest("hex");
 }
--- a/src/routing/rank_entries.ts
+++ b/src/routing/rank_entries.ts
@@ -1,5 +1,5 @@
 /**
- * Which entries a caller should use.
+ * Ranks the entries that a caller should use.
  *
  * @module
  */
@@ -11,20 +11,20 @@
 export interface RankEntriesOptions {
   readonly service: string;
   readonly clientAccount: string;
-  /** Place that the caller is in, where it says so. */
+  /** The caller's place, if it sent one. */
   readonly place?: string;
 }
 
 /**
  * Ranks the entries for a service and a client account.
  *
- * Rendezvous hashing gives each pair its own order that moves little when
- * entries come and go, so prefixes stay warm. Entries in the caller's place
- * go first, those that are overloaded last, those that are leaving not at all.
+ * Rendezvous hashing gives each pair its own order, which changes little when
+ * entries join or leave, so prefix caches stay warm. Entries in the caller's
+ * place come first and overloaded ones last; leaving entries are excluded.
  *
  * @param entries - The live entries.
  * @param options - The service, the client account, the caller's place.
- * @returns The entries, the best first.
+ * @returns The entries, in order of preference.
  * @throws Nothing.
  * @example
  * const ranked = rankEntries(entries, { service, clientAccount });
@@ -34,14 +34,16 @@
   options: RankEntriesOptions,
 ): LiveEntry[] {
   const { service, clientAccount, place } = options;
-  const staying = entries.filter((entry) => !entry.leaving);
-  const rank = (entry: LiveEntry) => {
-    const overloaded = entry.overloaded ? 2 : 0;
-    const distant = place !== undefined && entry.place !== place ? 1 : 0;
-    return overloaded + distant;
+  const remaining = entries.filter((entry) => !entry.leaving);
+  const getPenalty = (entry: LiveEntry) => {
+    const overloadPenalty = entry.overloaded ? 2 : 0;
+    const distancePenalty = place !== undefined && entry.place !== place
+      ? 1
+      : 0;
+    return overloadPenalty + distancePenalty;
   };
-  const byVm = new Map(staying.map((entry) => [entry.vm, entry]));
+  const byVm = new Map(remaining.map((entry) => [entry.vm, entry]));
   return rankByRendezvous([...byVm.keys()], `${service}\n${clientAccount}`)
     .flatMap((vm) => byVm.get(vm) ?? [])
-    .sort((a, b) => rank(a) - rank(b));
+    .sort((a, b) => getPenalty(a) - getPenalty(b));
 }
--- a/src/routing/routing_test.ts
+++ b/src/routing/routing_test.ts
@@ -32,16 +32,16 @@
 
 const options = { nowMs: 0, random: 0.5 };
 
-test("of no upstreams none is chosen", () => {
+test("no upstream is chosen from an empty list", () => {
   assert.is(chooseUpstream([], options), undefined);
 });
 
-test("an upstream that is leaving gets no new work, even when it is alone", () => {
+test("a closed upstream gets no new work, even if it is the only one", () => {
   const views = [makeView("a", { closed: true })];
   assert.is(chooseUpstream(views, options), undefined);
 });
 
-test("the upstream that would answer first is chosen", () => {
+test("the upstream with the lowest expected time is chosen", () => {
   const views = [
     makeView("busy", { inFlight: 10 }),
     makeView("slow", { speedPerS: 1 }),
@@ -51,7 +51,7 @@
   assert.is(chooseUpstream(views, options)?.name, "free");
 });
 
-test("an upstream outside the entry's share is the last resort", () => {
+test("an upstream outside the entry's share is used only as a last resort", () => {
   const inside = makeView("inside", { share: 0.5, inFlight: 20 });
   const outside = makeView("outside", { share: 0 });
   assert.is(chooseUpstream([inside, outside], options)?.name, "inside");
@@ -59,7 +59,7 @@
   assert.is(chooseUpstream([closed, outside], options)?.name, "outside");
 });
 
-test("ejections can't empty a service", () => {
+test("ejections cannot leave a service without upstreams", () => {
   const ejected = { ejectedUntilMs: 1_000 };
   const some = [makeView("a", ejected), makeView("b"), makeView("c")];
   assert.is.not(chooseUpstream(some, options)?.name, "a");
@@ -71,14 +71,14 @@
   assert.is.not(chooseUpstream(most, options)?.name, "c");
 });
 
-test("what was tried is left out while others remain", () => {
+test("upstreams already tried are skipped while others remain", () => {
   const views = [makeView("a"), makeView("b", { inFlight: 9 })];
   const exclude = new Set(["a"]);
   assert.is(chooseUpstream(views, { ...options, exclude })?.name, "b");
   assert.is(chooseUpstream([views[0]], { ...options, exclude })?.name, "a");
 });
 
-test("a newcomer gets a small share at first", () => {
+test("a new upstream gets a small share at first", () => {
   const views = [
     makeView("old", { inFlight: 5 }),
     makeView("new", { knownSinceMs: 0 }),
@@ -87,7 +87,7 @@
   assert.is(chooseUpstream(views, { ...options, nowMs: 10_000 })?.name, "new");
 });
 
-test("a chain tiles all layers or there is none", () => {
+test("a chain covers all layers without gaps or overlaps, or there is none", () => {
   const stage = (name: string, start: number, end: number) =>
     makeView(name, { layers: { start, end } });
   const views = [stage("a", 0, 4), stage("b", 4, 8), stage("c", 0, 3)];
@@ -97,15 +97,15 @@
   assert.is(chooseChain(views.slice(1), 8, options), undefined);
 });
 
-test("one that asked for rest gets nothing, even when it is alone", () => {
-  const resting = makeView("a", { backOffUntilMs: 1_000 });
-  assert.is(chooseUpstream([resting], options), undefined);
-  assert.is(chooseUpstream([resting, makeView("b")], options)?.name, "b");
-  const rested = { ...options, nowMs: 1_000 };
-  assert.is(chooseUpstream([resting], rested)?.name, "a");
+test("an upstream that asked for a back-off gets no requests, even if it is alone", () => {
+  const backedOff = makeView("a", { backOffUntilMs: 1_000 });
+  assert.is(chooseUpstream([backedOff], options), undefined);
+  assert.is(chooseUpstream([backedOff, makeView("b")], options)?.name, "b");
+  const afterBackOff = { ...options, nowMs: 1_000 };
+  assert.is(chooseUpstream([backedOff], afterBackOff)?.name, "a");
 });
 
-test("a rest is waited for where a chain is whole once it has ended", () => {
+test("the wait ends with the first back-off after which a complete chain is usable", () => {
   const views = [
     makeView("a", { layers: { start: 0, end: 4 }, backOffUntilMs: 500 }),
     makeView("b", { layers: { start: 4, end: 8 }, backOffUntilMs: 900 }),
@@ -118,9 +118,9 @@
   assert.is(findBackOffLeftMs(views, never), undefined);
 });
 
-// Both copies of a stage were once left out, since enough upstreams of other
-// stages remained.
-test("ejections can't empty a stage of a chain", () => {
+// Guards against ejecting all replicas of one stage because enough upstreams of
+// the other stages remain.
+test("ejections cannot leave a stage without upstreams", () => {
   const ejected = { ejectedUntilMs: 1_000 };
   const views = [
     makeView("a1", { layers: { start: 0, end: 4 } }),
@@ -131,7 +131,7 @@
   assert.is(chooseChain(views, 8, options)?.length, 2);
 });
 
-test("any chain that is chosen starts at 0, has no gap and ends at the last layer", () => {
+test("every chosen chain starts at layer 0, has no gap and ends at the last layer", () => {
   const range = fc.tuple(fc.nat(11), fc.integer({ min: 1, max: 6 }));
   fc.assert(
     fc.property(fc.array(range, { maxLength: 30 }), (ranges) => {
@@ -150,7 +150,7 @@
   );
 });
 
-test("the shares of all entries in an upstream add up to about the whole", () => {
+test("the shares of all entries in an upstream add up to about 1", () => {
   const entries = Array.from({ length: 11 }, (_v, at) => ({
     entry: `e${String(at).padStart(2, "0")}`,
     demandPerS: 10,
@@ -170,7 +170,7 @@
   assert.ok(sums.every((sum) => sum > 0.5 && sum < 1.6));
 });
 
-test("an entry with more demand gets more, an idle one still some", () => {
+test("an entry with more demand gets a larger interval, an idle one still some", () => {
   const intervals = computeEntryIntervals([
     { entry: "a", demandPerS: 90 },
     { entry: "b", demandPerS: 10 },
@@ -180,7 +180,7 @@
   assert.ok(intervals.c.part > 0);
 });
 
-test("failures in a row leave an upstream out, longer each time", () => {
+test("consecutive failures eject an upstream, for longer each time", () => {
   let health = SOUND;
   for (let count = 0; count < 3; count++) {
     health = updateHealth(health, false, { nowMs: 0 });
@@ -191,7 +191,7 @@
   assert.equal(updateHealth(health, true, { nowMs: 9_000 }), SOUND);
 });
 
-test("callers are told of entries in an order of their own, leaving ones not", () => {
+test("each client account gets its own stable order of entries, without leaving ones", () => {
   const entries = ["a", "b", "c", "d"].map((vm) => ({
     vm,
     place: vm < "c" ? "p1" : "p2",
@@ -199,21 +199,21 @@
     leaving: vm === "d",
     overloaded: false,
   }));
-  const of = (clientAccount: string, place?: string) =>
+  const rankVms = (clientAccount: string, place?: string) =>
     rankEntries(entries, { service: "s", clientAccount, place })
       .map((entry) => entry.vm);
-  assert.is(of("x").length, 3);
-  assert.equal(of("x"), of("x"));
+  assert.is(rankVms("x").length, 3);
+  assert.equal(rankVms("x"), rankVms("x"));
   const firsts = new Set(
-    Array.from({ length: 40 }, (_v, at) => of(`account-${at}`)[0]),
+    Array.from({ length: 40 }, (_v, at) => rankVms(`account-${at}`)[0]),
   );
   assert.is(firsts.size, 3);
-  assert.is(of("x", "p2")[0], "c");
+  assert.is(rankVms("x", "p2")[0], "c");
   const loaded = entries.map((entry) =>
-    entry.vm === of("x")[0] ? { ...entry, overloaded: true } : entry
+    entry.vm === rankVms("x")[0] ? { ...entry, overloaded: true } : entry
   );
   const ranked = rankEntries(loaded, { service: "s", clientAccount: "x" });
-  assert.is(ranked[2].vm, of("x")[0]);
+  assert.is(ranked[2].vm, rankVms("x")[0]);
 });
 
 test.run();
--- a/src/routing/score_upstream.ts
+++ b/src/routing/score_upstream.ts
@@ -1,21 +1,25 @@
 /**
- * The time that a request is expected to take at an upstream.
+ * Estimates the time that a request takes at an upstream.
  *
  * @module
  */
 
-import { MIN_SHARE, SLOW_START_FLOOR, SLOW_START_MS } from "./constants.ts";
+import {
+  MIN_SHARE,
+  MIN_SLOW_START_FACTOR,
+  SLOW_START_MS,
+} from "./constants.ts";
 import type { RoutingOptions, UpstreamView } from "./types.ts";
 
 /**
- * Scores an upstream: the time, in ms, until it would have answered.
+ * Scores an upstream: the expected time, in ms, until it responds.
  *
- * The entry's own requests there, over the part of the upstream that it may
- * count on, stand for all requests there.
+ * The total load is estimated from the entry's own requests in flight there,
+ * divided by the share of the upstream that the entry may use.
  *
- * @param view - What is known of the upstream.
- * @param options - The time, and what the upstream would be spared.
- * @returns The expected time, in ms; the least is the best.
+ * @param view - The upstream.
+ * @param options - The time, and the fraction of work that a cached prefix saves.
+ * @returns The expected time, in ms; lower is better.
  * @throws Nothing.
  * @example
  * const expectedMs = scoreUpstream(view, { nowMs: 1_000, random: 0 });
@@ -24,12 +28,13 @@
   view: UpstreamView,
   options: RoutingOptions,
 ): number {
-  const { nowMs, getSparedPart } = options;
-  const work = getSparedPart ? 1 - getSparedPart(view.name) : 1;
+  const { nowMs, getReusedFraction } = options;
+  const work = getReusedFraction ? 1 - getReusedFraction(view.name) : 1;
   const knownMs = nowMs - view.knownSinceMs;
-  const warmth = knownMs >= SLOW_START_MS
+  const slowStartFactor = knownMs >= SLOW_START_MS
     ? 1
-    : Math.max(SLOW_START_FLOOR, knownMs / SLOW_START_MS);
-  const usablePerS = view.speedPerS * warmth * Math.max(MIN_SHARE, view.share);
-  return view.roundTripMs + ((view.inFlight + work) * 1_000) / usablePerS;
+    : Math.max(MIN_SLOW_START_FACTOR, knownMs / SLOW_START_MS);
+  const effectivePerS = view.speedPerS * slowStartFactor *
+    Math.max(MIN_SHARE, view.share);
+  return view.roundTripMs + ((view.inFlight + work) * 1_000) / effectivePerS;
 }
--- a/src/routing/types.ts
+++ b/src/routing/types.ts
@@ -1,44 +1,44 @@
 /**
- * What an entry knows of the upstreams that it may choose from.
+ * Types for the choice of upstreams.
  *
  * @module
  */
 
 import type { LayerRange } from "../model/index.ts";
 
-/** What an entry knows of one upstream. */
+/** An entry's view of one upstream. */
 export interface UpstreamView {
   readonly name: string;
-  /** Work that it does in a second: requests, or layers times tokens. */
+  /** Work per second: requests, or layers times tokens. */
   readonly speedPerS: number;
-  /** Time, in ms, of one way there and back. */
+  /** Network round-trip time, in ms. */
   readonly roundTripMs: number;
   /** This entry's own requests in flight there. */
   readonly inFlight: number;
-  /** Part of the upstream that this entry may count on, from 0 to 1. */
+  /** Share of the upstream that this entry may use, from 0 to 1. */
   readonly share: number;
-  /** Time, in ms, since which it has been known; newcomers start slowly. */
+  /** Time, in ms, at which this entry learned of it; new upstreams get a slow start. */
   readonly knownSinceMs: number;
-  /** Time, in ms, until which it is left out after failures. */
+  /** Time, in ms, until which it is ejected after failures. */
   readonly ejectedUntilMs: number;
-  /** Time, in ms, until which it wants no new work; absent where it didn't say so. */
+  /** Time, in ms, until which it asked for no new work; absent if it did not ask. */
   readonly backOffUntilMs?: number;
-  /** Whether it is leaving, drained, or missing: it takes no new work. */
+  /** Whether it accepts no new work, because it is leaving, drained or missing. */
   readonly closed: boolean;
-  /** Layers that it holds; absent for a plain service. */
+  /** Layers that it holds; absent in a service without a layered model. */
   readonly layers?: LayerRange;
 }
 
-/** Time and randomness of a choice, and its bounds. */
+/** Options of the choice of upstreams. */
 export interface RoutingOptions {
   readonly nowMs: number;
   /** A number in [0, 1). */
   readonly random: number;
-  /** Upstreams that were tried already and are left out. */
+  /** Upstreams that were already tried, used only if there is no other. */
   readonly exclude?: ReadonlySet<string>;
   /**
-   * Part of the request's work that an upstream would be spared, from 0 to 1,
-   * because it has its prefix; by default none.
+   * Fraction of the request's work, from 0 to 1, that an upstream saves because
+   * it has the request's prefix cached; 0 by default.
    */
-  readonly getSparedPart?: (name: string) => number;
+  readonly getReusedFraction?: (name: string) => number;
 }
--- a/src/routing/update_health.ts
+++ b/src/routing/update_health.ts
@@ -1,15 +1,15 @@
 /**
- * Leaves an upstream out for a while after failures in a row.
+ * Outlier ejection: excludes an upstream temporarily after consecutive failures.
  *
  * @module
  */
 
-/** An upstream's failures. */
+/** Failure record of an upstream. */
 export interface Health {
   readonly failuresInRow: number;
-  /** Ejections without a success since. */
+  /** Ejections since the last success. */
   readonly ejections: number;
-  /** Time, in ms, until which it is left out. */
+  /** Time, in ms, until which it is ejected. */
   readonly ejectedUntilMs: number;
 }
 
@@ -21,16 +21,16 @@
   readonly maxEjectionMs?: number;
 }
 
-/** Failures in a row after which an upstream is left out. */
+/** Consecutive failures after which an upstream is ejected. */
 export const FAILURES_TO_EJECT = 3;
 
-/** First time, in ms, for which it is left out; doubled by each further one. */
+/** Duration of the first ejection, in ms; doubles with each further one. */
 export const BASE_EJECTION_MS = 2_000;
 
-/** Longest time, in ms, for which it is left out. */
+/** Maximum duration of an ejection, in ms. */
 export const MAX_EJECTION_MS = 60_000;
 
-/** An upstream that never failed. */
+/** Health of an upstream without failures since its last success. */
 export const SOUND: Health = {
   failuresInRow: 0,
   ejections: 0,
@@ -38,12 +38,12 @@
 };
 
 /**
- * Takes one result into an upstream's health.
+ * Updates an upstream's health with the result of one request.
  *
- * @param health - Its health so far.
- * @param succeeded - Whether the upstream did what was asked.
- * @param options - The time and the bounds.
- * @returns Its health now.
+ * @param health - The health before the request.
+ * @param succeeded - Whether the request succeeded at the upstream.
+ * @param options - The time and the limits.
+ * @returns The updated health.
  * @throws Nothing.
  * @example
  * const health = updateHealth(SOUND, false, { nowMs: 0 });
@@ -61,16 +61,16 @@
     maxEjectionMs = MAX_EJECTION_MS,
   } = options;
   const failuresInRow = health.failuresInRow + 1;
-  // After an ejection one more failure is enough for the next.
-  const enough = failuresInRow >= failuresToEject || health.ejections > 0;
-  if (!enough) return { ...health, failuresInRow };
-  const holdMs = Math.min(
+  // After an ejection, a single further failure ejects the upstream again.
+  const shouldEject = failuresInRow >= failuresToEject || health.ejections > 0;
+  if (!shouldEject) return { ...health, failuresInRow };
+  const ejectionMs = Math.min(
     maxEjectionMs,
     baseEjectionMs * 2 ** health.ejections,
   );
   return {
     failuresInRow: 0,
     ejections: health.ejections + 1,
-    ejectedUntilMs: nowMs + holdMs,
+    ejectedUntilMs: nowMs + ejectionMs,
   };
 }
