--- a/src/routes/_lib/get_name.ts
+++ b/src/routes/_lib/get_name.ts
@@ -1,11 +1,11 @@
 /**
- * Names of services and accounts.
+ * Key of services and accounts.
  *
  * @module
  */
 
 /**
- * Gets the name of a service or an account, which is its key.
+ * Gets the name of a service or an account, which serves as its key.
  *
  * @param named - The service or account.
  * @returns The name.
--- a/src/routes/_lib/key_items.ts
+++ b/src/routes/_lib/index_by_key.ts
@@ -1,20 +1,20 @@
 /**
- * Items by their keys.
+ * Indexes items by key.
  *
  * @module
  */
 
 /**
- * Puts items into a map; of those with the same key the last one stays.
+ * Indexes items by key; of several items with the same key, the last one wins.
  *
  * @param items - The items.
- * @param getKey - Gives an item's key.
+ * @param getKey - Returns the key of an item.
  * @returns The map, in the order of the items.
  * @throws Nothing.
  * @example
  * const byName = keyItems(config.services, (service) => service.name);
  */
-export function keyItems<Item>(
+export function indexByKey<Item>(
   items: readonly Item[],
   getKey: (item: Item) => string,
 ): Map<string, Item> {
--- a/src/routes/_lib/normalize_host.ts
+++ b/src/routes/_lib/normalize_host.ts
@@ -1,14 +1,14 @@
 /**
- * Brings the name of a host into one form.
+ * Normalizes host names.
  *
  * @module
  */
 
 /**
- * Drops the port and the case of a host's name.
+ * Removes the port from a host name and converts it to lower case.
  *
- * @param host - The name as it stands in a header or a route.
- * @returns The name that look-ups compare.
+ * @param host - The name as given in a Host header or a route.
+ * @returns The normalized name, as used in lookups.
  * @throws Nothing.
  * @example
  * normalizeHost("A.example:80"); // "a.example"
--- a/src/routes/apply_config_change.ts
+++ b/src/routes/apply_config_change.ts
@@ -5,17 +5,17 @@
  */
 
 import { getName } from "./_lib/get_name.ts";
-import { keyItems } from "./_lib/key_items.ts";
+import { indexByKey } from "./_lib/index_by_key.ts";
 import type { ConfigChange, ListChange } from "./diff_configs.ts";
 import { getRouteKey } from "./get_route_key.ts";
 import type { RouteConfig } from "./schemas.ts";
 
 /**
- * Applies a change.
+ * Applies a change made by {@link diffConfigs}.
  *
- * @param from - The configuration that the change was made from.
+ * @param from - The configuration that the change is based on.
  * @param change - The change.
- * @returns The newer configuration; the order of its lists may differ.
+ * @returns The newer configuration; the order of its lists may differ from the original.
  * @throws Nothing.
  * @example
  * const config = applyConfigChange(held, change);
@@ -40,7 +40,7 @@
   getKey: (item: Item) => string,
 ): Item[] {
   if (isWhole) return [...put];
-  const byKey = keyItems(items, getKey);
+  const byKey = indexByKey(items, getKey);
   for (const key of removedKeys) byKey.delete(key);
   for (const item of put) byKey.set(getKey(item), item);
   return [...byKey.values()];
--- a/src/routes/choose_target.ts
+++ b/src/routes/choose_target.ts
@@ -1,5 +1,5 @@
 /**
- * Picks the service of a request among a route's weighted targets.
+ * Chooses the service for a request among a route's weighted targets.
  *
  * @module
  */
@@ -7,7 +7,7 @@
 import type { Route } from "./schemas.ts";
 
 /**
- * Picks a target in proportion to the weights.
+ * Chooses a target at random, in proportion to the weights.
  *
  * @param route - The route.
  * @param random - A number in [0, 1).
@@ -22,10 +22,10 @@
 ): string {
   const { targets } = route;
   const total = targets.reduce((sum, target) => sum + target.weight, 0);
-  let left = random * total;
+  let remaining = random * total;
   for (const { service, weight } of targets) {
-    left -= weight;
-    if (weight > 0 && left < 0) return service;
+    remaining -= weight;
+    if (weight > 0 && remaining < 0) return service;
   }
   return targets.findLast((target) => target.weight > 0)?.service ??
     targets[0].service;
--- a/src/routes/create_route_table.ts
+++ b/src/routes/create_route_table.ts
@@ -7,11 +7,11 @@
 import { normalizeHost } from "./_lib/normalize_host.ts";
 import type { Account, Route, RouteConfig, Service } from "./schemas.ts";
 
-/** A configuration made ready for look-ups. */
+/** A configuration indexed for lookups. */
 export interface RouteTable {
   readonly version: number;
   readonly limits: RouteConfig["limits"];
-  /** Whether requests on routes that are not anonymous need a key. */
+  /** Whether requests need an API key, except on anonymous routes. */
   readonly needsKeys: boolean;
   findRoute(host: string, path: string): Route | undefined;
   findAccount(key: string): Account | undefined;
@@ -19,7 +19,7 @@
 }
 
 /**
- * Makes the table of a configuration.
+ * Creates the route table of a configuration.
  *
  * @param config - A valid configuration.
  * @returns The table.
@@ -56,7 +56,7 @@
   };
 }
 
-// Prefixes end with a slash, so only the cuts after a slash can match.
+// Prefixes end with a slash, so only the parts of the path up to a slash are looked up.
 function findLongestPrefix(
   routes: ReadonlyMap<string, Route>,
   path: string,
--- a/src/routes/diff_configs.ts
+++ b/src/routes/diff_configs.ts
@@ -1,27 +1,27 @@
 /**
- * What changed between two configurations.
+ * Computes the difference between two configurations.
  *
  * @module
  */
 
 import { isDeepStrictEqual } from "node:util";
 import { getName } from "./_lib/get_name.ts";
-import { keyItems } from "./_lib/key_items.ts";
+import { indexByKey } from "./_lib/index_by_key.ts";
 import { getRouteKey } from "./get_route_key.ts";
 import type { Account, Route, RouteConfig, Service } from "./schemas.ts";
 
-/** What changed in a list whose items have keys; their order has no meaning. */
+/** Changes to a list of items with keys; the order of the items is ignored. */
 export interface ListChange<Item> {
-  /** Whether `put` is the whole list, and what was there before is dropped. */
+  /** Whether `put` is the complete list and replaces the previous one. */
   readonly isWhole: boolean;
-  /** Items that were added or replaced. */
+  /** Added and replaced items. */
   readonly put: readonly Item[];
   readonly removedKeys: readonly string[];
 }
 
-/** What changed between two configurations. */
+/** Difference between two configurations. */
 export interface ConfigChange {
-  /** Version of the newer one. */
+  /** Version of the newer configuration. */
   readonly version: number;
   readonly routes: ListChange<Route>;
   readonly services: ListChange<Service>;
@@ -30,7 +30,8 @@
 }
 
 /**
- * Finds what changed, in time proportional to the two configurations.
+ * Computes the difference between two configurations, in time linear in their
+ * size.
  *
  * @param from - The earlier configuration.
  * @param to - The newer one.
@@ -55,9 +56,9 @@
   to: readonly Item[],
   getKey: (item: Item) => string,
 ): ListChange<Item> {
-  const before = keyItems(from, getKey);
-  const after = keyItems(to, getKey);
-  // Keys that occur twice can't name single items.
+  const before = indexByKey(from, getKey);
+  const after = indexByKey(to, getKey);
+  // With duplicate keys, single items cannot be identified: send the complete list.
   if (before.size < from.length || after.size < to.length) {
     return { isWhole: true, put: to, removedKeys: [] };
   }
--- a/src/routes/diff_configs_test.ts
+++ b/src/routes/diff_configs_test.ts
@@ -27,7 +27,7 @@
   return prefixes.map((pathPrefix) => makeRoute({ pathPrefix, ...fields }));
 }
 
-/** Lists in one order, so that only their content is compared. */
+/** Sorts all lists, so that the comparison ignores their order. */
 function sortLists(config: RouteConfig): RouteConfig {
   const sort = <Item>(items: readonly Item[]) =>
     [...items].sort((a, b) => JSON.stringify(a) < JSON.stringify(b) ? -1 : 1);
@@ -51,7 +51,7 @@
       ],
     }),
   ],
-  "a key moved to another account, an account gone": [
+  "a key moved to another account, an account removed": [
     makeConfig({
       accounts: [
         { name: "one", keys: ["k1", "k2"] },
@@ -67,7 +67,7 @@
       ],
     }),
   ],
-  "two accounts of one name": [
+  "two accounts with the same name": [
     makeConfig({ accounts: [{ name: "one", keys: ["k1"] }] }),
     makeConfig({
       version: 2,
@@ -91,7 +91,7 @@
 };
 
 for (const [what, [from, to]] of Object.entries(PAIRS)) {
-  test(`a change gives the newer configuration: ${what}`, () => {
+  test(`applying a change yields the newer configuration: ${what}`, () => {
     for (const [before, after] of [[from, to], [to, from]]) {
       const applied = applyConfigChange(before, diffConfigs(before, after));
       assert.equal(sortLists(applied), sortLists(after));
@@ -99,7 +99,7 @@
   });
 }
 
-test("a change holds only what differs", () => {
+test("a change contains only the items that differ", () => {
   const [from, to] = PAIRS["routes added, replaced and removed"];
   const { routes } = diffConfigs(from, to);
   assert.equal(routes.put.map(({ pathPrefix }) => pathPrefix), ["/d/", "/c/"]);
--- a/src/routes/find_config_problems.ts
+++ b/src/routes/find_config_problems.ts
@@ -1,5 +1,5 @@
 /**
- * Checks a whole configuration before it is accepted.
+ * Validates a configuration before it is accepted.
  *
  * @module
  */
@@ -10,16 +10,16 @@
 import { getRouteKey } from "./get_route_key.ts";
 import { type RouteConfig, RouteConfigSchema, RouteSchema } from "./schemas.ts";
 
-// Interpreting the schemas holds the event loop up on large configurations. They are
-// compiled on the first use: most processes check nothing.
+// Interpreting the schemas would block the event loop on large configurations, so they
+// are compiled; on first use only, because most processes never validate one.
 const getConfigValidator = once(() => Compile(RouteConfigSchema));
 const getRouteValidator = once(() => Compile(RouteSchema));
 
 /**
- * Finds what makes a configuration invalid.
+ * Finds the problems that make a configuration invalid.
  *
  * @param config - The configuration.
- * @returns One line a problem, naming the field; none where it is valid.
+ * @returns One line per problem, with the field; empty if the configuration is valid.
  * @throws Nothing.
  * @example
  * const problems = findConfigProblems(config);
@@ -28,21 +28,25 @@
   if (!getConfigValidator().Check(config)) return findShapeProblems(config);
   return [
     ...findTargetProblems(config),
-    ...findSecondRoutes(config),
+    ...findDuplicateRoutes(config),
     ...findSharedKeys(config),
   ];
 }
 
-// Routes that are right are not looked at again: there are many of them.
+// Routes are checked one by one, so that the detailed, interpreted check runs only on
+// the invalid ones: a configuration can have many routes.
 function findShapeProblems(config: RouteConfig): string[] {
   const validator = getRouteValidator();
-  const ofRoutes = config.routes.flatMap((route, at) =>
+  const routeProblems = config.routes.flatMap((route, at) =>
     validator.Check(route)
       ? []
       : describeProblems(RouteSchema, route, `routes.${at}.`)
   );
-  const rest = { ...config, routes: [] };
-  return [...ofRoutes, ...describeProblems(RouteConfigSchema, rest, "")];
+  const withoutRoutes = { ...config, routes: [] };
+  return [
+    ...routeProblems,
+    ...describeProblems(RouteConfigSchema, withoutRoutes, ""),
+  ];
 }
 
 function describeProblems(
@@ -56,28 +60,28 @@
 }
 
 function once<Value>(make: () => Value): () => Value {
-  let made: { value: Value } | undefined;
-  return () => (made ??= { value: make() }).value;
+  let cached: { value: Value } | undefined;
+  return () => (cached ??= { value: make() }).value;
 }
 
 function findTargetProblems(config: RouteConfig): string[] {
   const services = new Set(config.services.map((service) => service.name));
   return config.routes.flatMap((route, at) => {
-    const unknown = route.targets
+    const unknownServices = route.targets
       .filter((target) => !services.has(target.service))
       .map((target) => `routes.${at}: unknown service ${target.service}`);
     const totalWeight = route.targets
       .reduce((sum, target) => sum + target.weight, 0);
-    if (totalWeight > 0) return unknown;
-    return [...unknown, `routes.${at}: the weights sum to 0`];
+    if (totalWeight > 0) return unknownServices;
+    return [...unknownServices, `routes.${at}: the weights sum to 0`];
   });
 }
 
-function findSecondRoutes(config: RouteConfig): string[] {
+function findDuplicateRoutes(config: RouteConfig): string[] {
   const seen = new Set<string>();
   return config.routes.flatMap((route, at) => {
     const key = getRouteKey(route);
-    if (seen.has(key)) return [`routes.${at}: second route for ${key}`];
+    if (seen.has(key)) return [`routes.${at}: duplicate route for ${key}`];
     seen.add(key);
     return [];
   });
--- a/src/routes/get_route_key.ts
+++ b/src/routes/get_route_key.ts
@@ -1,5 +1,5 @@
 /**
- * Tells routes apart.
+ * Key that identifies a route.
  *
  * @module
  */
@@ -8,7 +8,7 @@
 import type { Route } from "./schemas.ts";
 
 /**
- * Gets the key of a route: two routes with the same key take the same requests.
+ * Gets the key of a route: two routes with the same key match the same requests.
  *
  * @param route - The route.
  * @returns The key.
--- a/src/routes/index.ts
+++ b/src/routes/index.ts
@@ -1,5 +1,5 @@
 /**
- * Routes by host and path prefix, and the configuration they come in.
+ * Routes by host and path prefix, and the configuration that contains them.
  *
  * @module
  */
--- a/src/routes/routes_test.ts
+++ b/src/routes/routes_test.ts
@@ -22,7 +22,7 @@
   };
 }
 
-test("the longest prefix of the host wins, whatever its port and case", () => {
+test("the longest matching prefix wins, regardless of the host's port and case", () => {
   const table = createRouteTable(makeConfig({
     routes: [
       makeRoute({ name: "short", pathPrefix: "/x/" }),
@@ -45,7 +45,7 @@
   assert.ok(table.needsKeys);
 });
 
-test("weights decide, and a target of weight 0 is never chosen", () => {
+test("targets are chosen by weight, and one of weight 0 never", () => {
   const targets = [
     { service: "a", weight: 0 },
     { service: "b", weight: 3 },
@@ -66,11 +66,11 @@
   "unknown service": {
     routes: [makeRoute({ targets: [{ service: "t", weight: 1 }] })],
   },
-  "second route": { routes: [makeRoute(), makeRoute({ name: "again" })] },
-  "second route for a.example /x/": {
+  "duplicate route": { routes: [makeRoute(), makeRoute({ name: "again" })] },
+  "duplicate route for a.example /x/": {
     routes: [makeRoute(), makeRoute({ name: "again", host: "A.EXAMPLE" })],
   },
-  "routes.1: second route": {
+  "routes.1: duplicate route": {
     routes: [makeRoute(), makeRoute({ name: "again", host: "a.example:80" })],
   },
   "version": { version: 9.5 },
@@ -89,10 +89,10 @@
   },
 };
 
-for (const [word, fields] of Object.entries(INVALID)) {
-  test(`an invalid configuration is told by its field: ${word}`, () => {
+for (const [text, fields] of Object.entries(INVALID)) {
+  test(`the problem of an invalid configuration contains: ${text}`, () => {
     const problems = findConfigProblems(makeConfig(fields));
-    assert.ok(problems.some((problem) => problem.includes(word)), problems[0]);
+    assert.ok(problems.some((problem) => problem.includes(text)), problems[0]);
   });
 }
 
--- a/src/routes/schemas.ts
+++ b/src/routes/schemas.ts
@@ -1,105 +1,105 @@
 /**
- * The schemas of a whole configuration: routes, services, client accounts.
+ * Schemas of the configuration: routes, services and client accounts.
  *
  * @module
  */
 
 import Type, { type Static } from "typebox";
 
-/** A service's share of a route's requests. */
+/** A target of a route: a service and its weight. */
 export const RouteTargetSchema = Type.Object({
   service: Type.String({ minLength: 1 }),
-  /** Share of the requests, relative to the other targets' weights. */
+  /** Share of the route's requests, relative to the weights of the other targets. */
   weight: Type.Number({ minimum: 0 }),
 });
 
-/** A service's share of a route's requests. */
+/** A target of a route. */
 export type RouteTarget = Static<typeof RouteTargetSchema>;
 
-/** What a gateway may do with a request whose outcome is not known. */
+/** Whether a gateway may retry a request whose outcome is unknown. */
 export const RepeatabilitySchema = Type.Enum([
   "repeatable",
   "once",
   "resumable",
 ]);
 
-/** One route: which requests it takes and how they are served. */
+/** A route: which requests it matches and how they are served. */
 export const RouteSchema = Type.Object({
   name: Type.String(),
-  /** Name that callers put in the Host header, without a port. */
+  /** Host name that callers send in the Host header, without a port. */
   host: Type.String({ minLength: 1 }),
-  /** Begins and ends with a slash; the longest that matches wins. */
+  /** Path prefix, starting and ending with a slash; the longest match wins. */
   pathPrefix: Type.String({ pattern: "^/" }),
   repeatability: RepeatabilitySchema,
-  /** Whether the answer is a series of events. */
+  /** Whether the response is a stream of events. */
   isStream: Type.Boolean(),
-  /** Longest time, in ms, for which a request is held. */
+  /** Timeout of a request, in ms. */
   timeoutMs: Type.Number({ exclusiveMinimum: 0 }),
-  /** Time, in ms, to the first byte that callers are content with. */
+  /** Objective for the time to the first byte, in ms. */
   objectiveMs: Type.Number({ minimum: 0 }),
-  /** Pause between events, in ms, that callers are content with; 0: none. */
+  /** Objective for the time between events, in ms; 0: no objective. */
   gapObjectiveMs: Type.Number({ minimum: 0 }),
-  /** Rank among other requests; 0 is the most urgent. */
+  /** Priority among requests; 0 is the most urgent. */
   priority: Type.Number({ minimum: 0 }),
   targets: Type.Array(RouteTargetSchema, { minItems: 1 }),
-  /** Upstreams on which one request may run, at most. */
+  /** Maximum number of upstreams on which one request may run. */
   maxAttempts: Type.Number({ minimum: 1 }),
-  /** Whether requests need no key. */
+  /** Whether requests are accepted without an API key. */
   isAnonymous: Type.Boolean(),
 });
 
-/** One route. */
+/** A route. */
 export type Route = Static<typeof RouteSchema>;
 
 /** A kind of accelerator card. */
 export const CardKindSchema = Type.Object({
   name: Type.String(),
   memoryMb: Type.Number({ exclusiveMinimum: 0 }),
-  /** Factor on the time of a token step. */
+  /** Time of a token step, relative to the fastest card. */
   stepFactor: Type.Number({ exclusiveMinimum: 0 }),
-  /** Factor on the time of reading a prompt. */
+  /** Time to read (prefill) a prompt, relative to the fastest card. */
   readFactor: Type.Number({ exclusiveMinimum: 0 }),
 });
 
 /** A kind of accelerator card. */
 export type CardKind = Static<typeof CardKindSchema>;
 
-/** A model whose layers are spread over engines. */
+/** A model whose layers are distributed over engines. */
 export const LayeredModelSchema = Type.Object({
   layers: Type.Integer({ minimum: 1 }),
   layerMb: Type.Number({ exclusiveMinimum: 0 }),
-  /** Bytes of KV cache that a token takes over all layers. */
+  /** KV cache per token over all layers, in bytes. */
   kvTokenBytes: Type.Number({ minimum: 0 }),
-  /** Time, in ms, in which an engine loads all layers. */
+  /** Time to load all layers into an engine, in ms. */
   loadMs: Type.Number({ minimum: 0 }),
-  /** Loads that run at the same time at full speed. */
+  /** Number of loads that can run concurrently at full speed. */
   loadsAtOnce: Type.Integer({ minimum: 1 }),
-  /** Requests that an engine takes as the first of a path. */
+  /** Concurrent requests that an engine accepts as the first stage of a path. */
   slots: Type.Integer({ minimum: 1 }),
   /** Time of a token step, in ms, with all layers on the fastest card. */
   stepMs: Type.Number({ minimum: 0 }),
   /** Time, in ms, that each running request adds to a token step. */
   requestStepMs: Type.Number({ minimum: 0 }),
-  /** Time, in ms, that each token of running requests adds to it. */
+  /** Time, in ms, that each context token of running requests adds to a token step. */
   contextStepMs: Type.Number({ minimum: 0 }),
-  /** Prompt tokens read a second, with all layers on the fastest card. */
+  /** Prompt tokens prefilled per second, with all layers on the fastest card. */
   readTokensPerS: Type.Number({ exclusiveMinimum: 0 }),
-  /** Mean tokens of a prompt. */
+  /** Mean length of a prompt, in tokens. */
   usualPromptTokens: Type.Number({ minimum: 0 }),
-  /** Mean tokens of an answer. */
+  /** Mean length of a response, in tokens. */
   usualAnswerTokens: Type.Number({ minimum: 0 }),
   cards: Type.Array(CardKindSchema),
 });
 
-/** A model whose layers are spread over engines. */
+/** A model whose layers are distributed over engines. */
 export type LayeredModel = Static<typeof LayeredModelSchema>;
 
 /** A service: a group of upstreams that register themselves. */
 export const ServiceSchema = Type.Object({
   name: Type.String({ minLength: 1 }),
-  /** Connections that one upstream takes from all callers together. */
+  /** Maximum number of connections to one upstream, over all callers. */
   maxConnections: Type.Number({ minimum: 0 }),
-  /** Set where the service runs a model in ranges of layers. */
+  /** The model, if the service runs one that is split into ranges of layers. */
   model: Type.Optional(LayeredModelSchema),
 });
 
@@ -110,14 +110,14 @@
 export const AccountSchema = Type.Object({
   name: Type.String({ minLength: 1 }),
   keys: Type.Array(Type.String()),
-  /** Replaces the routes' priority where given. */
+  /** Overrides the priority of the route. */
   priority: Type.Optional(Type.Number({ minimum: 0 })),
 });
 
 /** A client account and its keys. */
 export type Account = Static<typeof AccountSchema>;
 
-/** Limits on what callers send. */
+/** Limits on requests of callers. */
 export const CallerLimitsSchema = Type.Object({
   headerBytes: Type.Number({ exclusiveMinimum: 0 }),
   bodyBytes: Type.Number({ exclusiveMinimum: 0 }),
@@ -125,15 +125,15 @@
   idleTimeoutMs: Type.Number({ exclusiveMinimum: 0 }),
 });
 
-/** A whole configuration; it is replaced at a higher version. */
+/** A complete configuration; one with a higher version replaces it. */
 export const RouteConfigSchema = Type.Object({
   version: Type.Integer({ minimum: 0, maximum: Number.MAX_SAFE_INTEGER }),
   routes: Type.Array(RouteSchema),
   services: Type.Array(ServiceSchema),
-  /** Empty: no request needs a key. */
+  /** Client accounts; if empty, no request needs an API key. */
   accounts: Type.Array(AccountSchema),
   limits: CallerLimitsSchema,
 });
 
-/** A whole configuration. */
+/** A complete configuration. */
 export type RouteConfig = Static<typeof RouteConfigSchema>;
