--- a/src/upstreams/call_stage.ts
+++ b/src/upstreams/call_stage.ts
@@ -1,6 +1,6 @@
 /**
- * The wire format to model engines: steps of a layer range, release, orders.
- * Nothing else in the system knows it.
+ * HTTP calls to model engines: steps of a layer range, and the release of caches.
+ * Only this folder knows the wire format.
  *
  * @module
  */
@@ -24,17 +24,17 @@
 
 const StepAnswer = Compile(StepAnswerSchema);
 
-/** What a stage is asked, beside the order itself. */
+/** A step to run at a stage. */
 export interface StageCall {
   readonly address: string;
   readonly requestId: string;
   readonly order: StepOrder;
-  /** The prompt and the tokens given so far, for the first stage's prefill. */
+  /** Prompt and tokens generated so far, for the prefill at the first stage. */
   readonly prompt?: {
     readonly text: string;
     readonly tokens: readonly number[];
   };
-  /** The caller's own parameters, as they came, for a prefill. */
+  /** Parameters of the caller's request, passed through unchanged with a prefill. */
   readonly parameters?: Readonly<Record<string, unknown>>;
   readonly priority: number;
   readonly timeoutMs: number;
@@ -45,8 +45,8 @@
  *
  * @param client - The client for upstreams.
  * @param call - The step.
- * @returns Its output.
- * @throws {DispatchError} Where the call failed, or the stage refused the step.
+ * @returns The output of the step.
+ * @throws {DispatchError} If the call failed or the stage rejected the step.
  * @example
  * const output = await callStage(client, call);
  */
@@ -76,7 +76,7 @@
   });
   const text = await readText(answer.body, address);
   if (answer.status !== 200) {
-    throw refusal(address, {
+    throw createRefusalError(address, {
       phase: "answering",
       fault: "upstream_said",
       status: answer.status,
@@ -95,7 +95,7 @@
     return await body.text();
   } catch (cause) {
     const failure: DispatchFailure = { phase: "answering", fault: "reset" };
-    throw new DispatchError(`The answer of ${address} was cut`, {
+    throw new DispatchError(`Response of ${address} was interrupted`, {
       cause,
       props: { failure },
     });
@@ -105,7 +105,10 @@
 function parseAnswer(text: string, address: string): StepOutput {
   const value = parseJson(text);
   if (!StepAnswer.Check(value)) {
-    throw refusal(address, { phase: "answering", fault: "upstream_said" });
+    throw createRefusalError(address, {
+      phase: "answering",
+      fault: "upstream_said",
+    });
   }
   return value as Static<typeof StepAnswerSchema>;
 }
@@ -118,17 +121,17 @@
   }
 }
 
-function refusal(address: string, failure: DispatchFailure): Error {
-  const status = failure.status ?? "no sense";
-  return new DispatchError(`Stage ${address} answered ${status}`, {
+function createRefusalError(address: string, failure: DispatchFailure): Error {
+  const status = failure.status ?? "an invalid response body";
+  return new DispatchError(`Stage ${address} returned ${status}`, {
     props: { failure },
   });
 }
 
 /**
- * Tells a stage that a request's epoch is over, so that it frees its cache; one that
- * asked for a back-off is told too, for it gains room by it.
- * A stage that does not hear it frees the cache by its own time limit.
+ * Notifies a stage that a request's epoch has ended, so that it frees its cache.
+ * Stages in a back-off are notified too, since this frees capacity there. A stage
+ * that does not receive the call frees the cache after its own timeout.
  *
  * @param client - The client for upstreams.
  * @param call - The stage, the request and the epoch.
@@ -153,9 +156,9 @@
     });
     await answer.body.dump();
   } catch {
-    // The stage is gone, and its cache with it.
+    // Best effort: a crashed stage has lost its cache, others free it by timeout.
   }
 }
 
-/** Time, in ms, for the answer to a release. */
+/** Timeout, in ms, for the response to a release. */
 const RELEASE_TIMEOUT_MS = 1_000;
--- a/src/upstreams/create_upstream_client.ts
+++ b/src/upstreams/create_upstream_client.ts
@@ -1,5 +1,5 @@
 /**
- * Calls to upstreams over HTTP that tell how far a failed call had come.
+ * HTTP client for upstreams that reports in which phase a call failed.
  *
  * @module
  */
@@ -11,64 +11,64 @@
 import type { DispatchFailure, DispatchFault } from "../retry/index.ts";
 import { DispatchError } from "./upstream_error.ts";
 
-/** One call. */
+/** A call to an upstream. */
 export interface UpstreamCall {
-  /** Base address of the upstream. */
+  /** Base URL of the upstream. */
   readonly address: string;
   readonly method: string;
-  /** Path with its query. */
+  /** Path, including the query. */
   readonly path: string;
   readonly headers?: Record<string, string | string[]>;
   readonly body?: string | Uint8Array;
-  /** Time, in ms, until the answer must have begun. */
+  /** Timeout, in ms, for the start of the response. */
   readonly timeoutMs: number;
   readonly signal?: AbortSignal;
 }
 
-/** An answer whose body is still to be read. */
+/** A response whose body has not been read yet. */
 export interface UpstreamAnswer {
   readonly status: number;
   readonly headers: IncomingHttpHeaders;
   readonly body: Readable & { text(): Promise<string>; dump(): Promise<void> };
 }
 
-/** Calls upstreams; keeps its connections. */
+/** A client for upstreams that pools its connections. */
 export interface UpstreamClient extends AsyncDisposable {
-  /** Rejects with a {@link DispatchError} where the call failed. */
+  /** Rejects with a {@link DispatchError} if the call fails. */
   call(call: UpstreamCall): Promise<UpstreamAnswer>;
 }
 
 /** Options of {@link createUpstreamClient}. */
 export interface CreateUpstreamClientOptions {
-  /** Time, in ms, for a connection. */
+  /** Timeout, in ms, for establishing a connection. */
   readonly connectTimeoutMs?: number;
-  /** Silence, in ms, within an answer after which it counts as cut. */
+  /** Maximum time, in ms, between two chunks of a response body. */
   readonly bodyTimeoutMs?: number;
-  /** Connections to one upstream, at most. */
+  /** Maximum number of connections to one upstream. */
   readonly connections?: number;
 }
 
-/** Time, in ms, for a connection; far above a round trip within a region. */
+/** Default connect timeout, in ms; far above a round trip within a region. */
 const CONNECT_TIMEOUT_MS = 500;
 
-/** Silence, in ms, within an answer. */
+/** Default timeout between two chunks of a response body, in ms. */
 const BODY_TIMEOUT_MS = 30_000;
 
-/** Connections to one upstream; engines batch what comes together. */
+/** Default limit of connections to one upstream; engines batch concurrent requests. */
 const CONNECTIONS = 256;
 
-/** Records whether the request was written; travels with the call. */
-interface Mark {
+/** Whether the request was handed to a connection; passed along with the call. */
+interface WriteState {
   written: boolean;
 }
 
-type MarkedOptions = Dispatcher.DispatchOptions & { mark?: Mark };
+type TrackedOptions = Dispatcher.DispatchOptions & { writeState?: WriteState };
 
 /**
- * Makes a client for upstreams.
+ * Creates a client for upstreams.
  *
- * @param options - Its time limits and connections.
- * @returns The client; disposing of it closes its connections.
+ * @param options - The timeouts and the connection limit.
+ * @returns The client; disposing it closes its connections.
  * @throws Nothing.
  * @example
  * await using client = createUpstreamClient();
@@ -88,10 +88,10 @@
     bodyTimeout: bodyTimeoutMs,
     keepAliveTimeout: 30_000,
   });
-  const dispatcher = agent.compose(markWritten);
+  const dispatcher = agent.compose(trackWrites);
 
   async function call(request: UpstreamCall): Promise<UpstreamAnswer> {
-    const mark: Mark = { written: false };
+    const writeState: WriteState = { written: false };
     const { address, method, path, headers, body, timeoutMs, signal } = request;
     try {
       const answer = await dispatcher.request({
@@ -102,7 +102,7 @@
         body,
         headersTimeout: timeoutMs,
         signal,
-        mark,
+        writeState,
       } as Dispatcher.RequestOptions);
       return {
         status: answer.statusCode,
@@ -110,7 +110,7 @@
         body: answer.body,
       };
     } catch (cause) {
-      const failure = describeFailure(cause, mark);
+      const failure = classifyCallError(cause, writeState);
       throw new DispatchError(
         `Call to ${address}${path} failed: ${failure.phase}, ${failure.fault}`,
         { cause, props: { failure } },
@@ -126,15 +126,15 @@
   };
 }
 
-// Notes the moment at which a request is given to a connection: before it, no
-// byte of the request can have left.
-const markWritten: Dispatcher.DispatcherComposeInterceptor =
+// Records when a request is handed to a connection: until then, no byte of it can
+// have been sent.
+const trackWrites: Dispatcher.DispatcherComposeInterceptor =
   (dispatch) => (options, handler) => {
-    const { mark } = options as MarkedOptions;
-    if (!mark) return dispatch(options, handler);
+    const { writeState } = options as TrackedOptions;
+    if (!writeState) return dispatch(options, handler);
     return dispatch(options, {
       onRequestStart(controller, context) {
-        mark.written = true;
+        writeState.written = true;
         handler.onRequestStart?.(controller, context);
       },
       onRequestUpgrade: (...given) => handler.onRequestUpgrade?.(...given),
@@ -145,9 +145,12 @@
     });
   };
 
-function describeFailure(error: unknown, mark: Mark): DispatchFailure {
+function classifyCallError(
+  error: unknown,
+  writeState: WriteState,
+): DispatchFailure {
   const { code = "", name = "" } = error as NodeJS.ErrnoException;
-  if (!mark.written) return { phase: "connecting", fault: "refused" };
+  if (!writeState.written) return { phase: "connecting", fault: "refused" };
   const timedOut = code === "UND_ERR_HEADERS_TIMEOUT" ||
     name === "AbortError" || name === "TimeoutError";
   const fault: DispatchFault = timedOut ? "timeout" : "reset";
@@ -155,10 +158,11 @@
 }
 
 /**
- * Reads the upstream's own word on whether it ran the request.
+ * Reads from a response whether the upstream reports that it did not run the
+ * request.
  *
- * @param answer - Its answer.
- * @returns Whether it says that it did not run it.
+ * @param answer - The response.
+ * @returns Whether the upstream reports that the request did not run.
  * @throws Nothing.
  * @example
  * if (saidNotRun(answer)) retry();
--- a/src/upstreams/index.ts
+++ b/src/upstreams/index.ts
@@ -1,5 +1,5 @@
 /**
- * Adapters to upstreams.
+ * Clients for the HTTP interface of upstreams.
  *
  * @module
  */
--- a/src/upstreams/send_order.ts
+++ b/src/upstreams/send_order.ts
@@ -1,5 +1,5 @@
 /**
- * Orders to engines: which layers of which model to hold.
+ * Sends orders to engines: which layers of which model to load.
  *
  * @module
  */
@@ -10,26 +10,26 @@
 /** An order to an engine. */
 export interface UpstreamOrder {
   readonly address: string;
-  /** Names the order; an engine that checks refuses an older one. */
+  /** Fencing token of the order; an engine that checks it rejects older orders. */
   readonly fence: { readonly term: number; readonly sequence: number };
   readonly model: string;
   readonly version: string;
   readonly layers: LayerRange;
-  /** Time, in ms, after which the order is given up and its connection cut. */
+  /** Timeout, in ms, after which the call is cancelled and its connection closed. */
   readonly timeoutMs: number;
 }
 
-/** What an engine answered. */
+/** Status of an order, as answered by the engine. */
 export type OrderAnswer = "ready" | "loading" | "fenced" | "failed";
 
 /**
- * Gives an order to an engine, or asks how far it is: the same order twice
- * changes nothing.
+ * Sends an order to an engine. Orders are idempotent: sending the same one again
+ * only polls its status.
  *
  * @param client - The client for upstreams.
  * @param order - The order.
- * @returns Whether it is carried out, under way, or refused as older.
- * @throws Nothing; a call that fails is `failed`.
+ * @returns Whether the order is complete, in progress, rejected as outdated, or failed.
+ * @throws Nothing; if the call fails, the status is `failed`.
  * @example
  * const answer = await sendOrder(client, order);
  */
--- a/src/upstreams/upstream_error.ts
+++ b/src/upstreams/upstream_error.ts
@@ -7,19 +7,19 @@
 import ModernError from "modern-errors";
 import type { DispatchFailure } from "../retry/index.ts";
 
-/** Base of all errors of calls to upstreams. */
+/** Base class of all errors of calls to upstreams. */
 export const UpstreamError = ModernError.subclass("UpstreamError");
 
-/** A call to an upstream failed; `failure` says how far it had come. */
+/** A call to an upstream failed; `failure` describes the phase and the cause. */
 export const DispatchError = UpstreamError.subclass("DispatchError", {
   props: { failure: undefined as DispatchFailure | undefined },
 });
 
 /**
- * Gets how far a failed call had come.
+ * Gets the failure from the error of a failed call.
  *
  * @param error - Any error.
- * @returns The failure, or undefined where it is no {@link DispatchError}.
+ * @returns The failure, or undefined if the error is not a {@link DispatchError}.
  * @throws Nothing.
  * @example
  * const failure = getFailure(error);
