--- a/src/limits/decide_admission.ts
+++ b/src/limits/decide_admission.ts
@@ -53,7 +53,7 @@
 /**
  * Multiple of the typical run time that must remain before the deadline when a
  * request leaves the queue. With a margin of 1, a seventh of all runs missed
- * their deadline at twice the capacity; see docs/design/limits.md.
+ * their deadline at a load of twice the capacity; see docs/design/limits.md.
  */
 export const RUN_MARGIN = 3;
 
--- a/src/limits/fair_queue.ts
+++ b/src/limits/fair_queue.ts
@@ -85,7 +85,7 @@
  * @returns The number of requests before it, and the request that would be last.
  * @throws Nothing.
  * @example
- * const { ahead } = findFairQueuePlace(queue, request);
+ * const { ahead } = findFairQueuePosition(queue, request);
  */
 export function findFairQueuePlace(
   queue: FairQueue,
--- a/src/retry/get_retry_wait_ms.ts
+++ b/src/retry/get_retry_wait_ms.ts
@@ -24,7 +24,7 @@
  * @returns The delay, in ms.
  * @throws Nothing.
  * @example
- * const waitMs = getRetryWaitMs(3, { firstMs: 100, maxMs: 2_000, random });
+ * const waitMs = getRetryWaitMs(3, { baseMs: 100, maxMs: 2_000, random });
  */
 export function getRetryWaitMs(
   failures: number,
--- a/src/routes/_lib/index_by_key.ts
+++ b/src/routes/_lib/index_by_key.ts
@@ -12,7 +12,7 @@
  * @returns The map, in the order of the items.
  * @throws Nothing.
  * @example
- * const byName = keyItems(config.services, (service) => service.name);
+ * const byName = indexByKey(config.services, (service) => service.name);
  */
 export function indexByKey<Item>(
   items: readonly Item[],
--- a/src/routing/find_back_off_left_ms.ts
+++ b/src/routing/find_back_off_left_ms.ts
@@ -23,7 +23,7 @@
  * @throws Nothing.
  * @example
  * const canSend = (nowMs) => chooseUpstream(views, { nowMs, random }) !== undefined;
- * const leftMs = findBackOffLeftMs(views, { nowMs, canSend });
+ * const leftMs = findRemainingBackOffMs(views, { nowMs, canSend });
  */
 export function findBackOffLeftMs(
   views: readonly Pick<UpstreamView, "backOffUntilMs">[],
--- a/src/routing/list_usable_upstreams.ts
+++ b/src/routing/list_usable_upstreams.ts
@@ -21,7 +21,7 @@
  * @returns The usable upstreams.
  * @throws Nothing.
  * @example
- * const usable = listUsable(views, { nowMs: 0, random: 0 });
+ * const usable = listUsableUpstreams(views, { nowMs: 0, random: 0 });
  */
 export function listUsableUpstreams(
   views: readonly UpstreamView[],
--- a/src/routing/update_health.ts
+++ b/src/routing/update_health.ts
@@ -46,7 +46,7 @@
  * @returns The updated health.
  * @throws Nothing.
  * @example
- * const health = updateHealth(SOUND, false, { nowMs: 0 });
+ * const health = updateHealth(HEALTHY, false, { nowMs: 0 });
  */
 export function updateHealth(
   health: Health,
--- a/src/upstreams/create_upstream_client.ts
+++ b/src/upstreams/create_upstream_client.ts
@@ -165,7 +165,7 @@
  * @returns Whether the upstream reports that the request did not run.
  * @throws Nothing.
  * @example
- * if (saidNotRun(answer)) retry();
+ * if (reportsNotRun(answer)) retry();
  */
 export function saidNotRun(
   answer: Pick<UpstreamAnswer, "status" | "headers">,
--- a/src/upstreams/upstream_error.ts
+++ b/src/upstreams/upstream_error.ts
@@ -22,7 +22,7 @@
  * @returns The failure, or undefined if the error is not a {@link DispatchError}.
  * @throws Nothing.
  * @example
- * const failure = getFailure(error);
+ * const failure = getDispatchFailure(error);
  */
 export function getFailure(error: unknown): DispatchFailure | undefined {
   if (!(error instanceof DispatchError)) return undefined;
