--- a/src/claims/claim_ledger.ts
+++ b/src/claims/claim_ledger.ts
@@ -1,10 +1,10 @@
 /**
  * The claim ledger: who may run a request that must not run twice.
  *
- * The ledger is the one state machine that is changed in place: it holds
- * hundreds of thousands of claims, and a copy for each claim would cost more
- * than the claim. Its owner is the apply loop alone; what a claim may do is
- * decided by the pure {@link decideClaim}.
+ * Unlike the other state machines, the ledger is changed in place: it holds
+ * hundreds of thousands of claims, and a copy per claim would cost more than the
+ * claim itself. Only the apply loop writes to it; the decision about a claim is
+ * made by the pure function {@link decideClaim}.
  *
  * @module
  */
@@ -12,16 +12,16 @@
 import { type ClaimVerdict, decideClaim } from "./decide_claim.ts";
 import type { Claim, ClaimBeginCommand, ClaimEndCommand } from "./types.ts";
 
-/** All claims within the window, the oldest first. */
+/** All claims within the retention window, oldest first. */
 export interface ClaimLedger {
   readonly claims: Map<string, Claim>;
   readonly windowMs: number;
 }
 
 /**
- * Makes an empty ledger.
+ * Creates an empty ledger.
  *
- * @param options - For how long a claim is remembered, in ms.
+ * @param options - The retention window of claims, in ms.
  * @returns The ledger.
  * @throws Nothing.
  * @example
@@ -32,7 +32,7 @@
 }
 
 /**
- * Records a claim, or says what became of the one that stands.
+ * Records a claim, or returns the state of the existing one.
  *
  * @param ledger - The ledger; changed in place.
  * @param command - The claim.
@@ -45,7 +45,7 @@
   ledger: ClaimLedger,
   command: ClaimBeginCommand,
 ): ClaimVerdict {
-  forgetOldClaims(ledger, command.nowMs);
+  evictExpiredClaims(ledger, command.nowMs);
   const key = getClaimKey(command);
   const verdict = decideClaim(ledger.claims.get(key), command);
   if (verdict.verdict !== "granted") return verdict;
@@ -59,10 +59,10 @@
 }
 
 /**
- * Looks a claim up without recording anything.
+ * Looks up a claim without recording anything.
  *
  * @param ledger - The ledger.
- * @param command - The claim that would be asked for.
+ * @param command - The claim to look up.
  * @returns The verdict that {@link beginClaim} would give.
  * @throws Nothing.
  * @example
@@ -76,7 +76,7 @@
 }
 
 /**
- * Records how a claimed request ended; only its holder may.
+ * Records how a claimed request ended. Only its holder may do so, and only once.
  *
  * @param ledger - The ledger; changed in place.
  * @param command - The end.
@@ -100,7 +100,7 @@
   return `${of.clientAccount}\n${of.key}`;
 }
 
-function forgetOldClaims(ledger: ClaimLedger, nowMs: number): void {
+function evictExpiredClaims(ledger: ClaimLedger, nowMs: number): void {
   for (const [key, claim] of ledger.claims) {
     if (claim.startedMs > nowMs - ledger.windowMs) return;
     ledger.claims.delete(key);
--- a/src/claims/claim_ledger_test.ts
+++ b/src/claims/claim_ledger_test.ts
@@ -23,7 +23,7 @@
   return { type: "claimEnd", clientAccount, key, holder, end } as const;
 }
 
-test("an empty ledger grants the first claim and no second", () => {
+test("an empty ledger grants the first claim and denies the second", () => {
   const ledger = createClaimLedger({ windowMs: 1_000 });
   assert.is(beginClaim(ledger, makeBegin()).verdict, "granted");
   assert.is(beginClaim(ledger, makeBegin()).verdict, "running");
@@ -31,14 +31,14 @@
   assert.is(beginClaim(ledger, other).verdict, "running");
 });
 
-test("a claim that surely did not run is granted again", () => {
+test("a claim whose request did not run is granted again", () => {
   const ledger = createClaimLedger({ windowMs: 1_000 });
   beginClaim(ledger, makeBegin());
   assert.ok(endClaim(ledger, makeEnd("not_run")));
   assert.is(beginClaim(ledger, makeBegin()).verdict, "granted");
 });
 
-test("a claim whose end is unknown is never granted again", () => {
+test("a claim with an unknown outcome is never granted again", () => {
   const ledger = createClaimLedger({ windowMs: 1_000 });
   beginClaim(ledger, makeBegin());
   endClaim(ledger, makeEnd("unknown"));
@@ -46,23 +46,23 @@
   assert.not(endClaim(ledger, makeEnd("not_run")));
 });
 
-// Found by the model check (ONE_HOLDER): a second attempt at the same entry
-// that was given up gave back the claim under which the first one ran.
-test("giving up one attempt does not free another of the same entry", () => {
+// Found by the model check (ONE_HOLDER): when a second attempt at the same entry was
+// abandoned, it released the claim under which the first attempt was still running.
+test("abandoning an attempt does not release the claim of another at that entry", () => {
   const ledger = createClaimLedger({ windowMs: 1_000 });
   beginClaim(ledger, makeBegin({ holder: "entry-1/a/1" }));
   assert.not(endClaim(ledger, makeEnd("not_run", "entry-1/a/2")));
   assert.is(beginClaim(ledger, makeBegin()).verdict, "running");
 });
 
-test("the same key for another request is a mismatch", () => {
+test("reusing a key for a different request is a mismatch", () => {
   const ledger = createClaimLedger({ windowMs: 1_000 });
   beginClaim(ledger, makeBegin());
   const other = makeBegin({ requestHash: "another" });
   assert.is(peekClaim(ledger, other).verdict, "mismatch");
 });
 
-test("a claim is forgotten only when its window has passed", () => {
+test("a claim is evicted only after its retention window", () => {
   const ledger = createClaimLedger({ windowMs: 1_000 });
   beginClaim(ledger, makeBegin());
   endClaim(ledger, makeEnd("done"));
--- a/src/claims/decide_claim.ts
+++ b/src/claims/decide_claim.ts
@@ -1,12 +1,12 @@
 /**
- * What becomes of a request for a claim.
+ * Decides whether a claim is granted.
  *
  * @module
  */
 
 import type { Claim, ClaimBeginCommand, ClaimEndState } from "./types.ts";
 
-/** What becomes of a request for a claim. */
+/** Result of a request for a claim. */
 export type ClaimVerdict =
   | { readonly verdict: "granted" }
   | { readonly verdict: "running"; readonly holder: string }
@@ -14,13 +14,13 @@
   | { readonly verdict: "mismatch" };
 
 /**
- * Decides what becomes of a request for a claim.
+ * Decides whether a claim is granted.
  *
- * It is granted where there is no claim, or where the earlier one surely did
- * not run. A claim that runs or has ended is never granted again, whoever
- * holds it: at most one run.
+ * It is granted if there is no claim yet, or if the earlier request certainly did
+ * not run. A claim that is running or has ended any other way is never granted
+ * again, whoever holds it, so that the request runs at most once.
  *
- * @param existing - The claim that stands, if any.
+ * @param existing - The existing claim, if any.
  * @param command - The request.
  * @returns The verdict.
  * @throws Nothing.
--- a/src/claims/index.ts
+++ b/src/claims/index.ts
@@ -1,5 +1,5 @@
 /**
- * Claims: at most one run of what must not run twice.
+ * Claims, which ensure that a non-repeatable request runs at most once.
  *
  * @module
  */
--- a/src/claims/types.ts
+++ b/src/claims/types.ts
@@ -9,24 +9,24 @@
 /** How a claimed request ended. */
 export interface ClaimEndState {
   readonly outcome: Outcome;
-  /** HTTP status that the caller got. */
+  /** HTTP status sent to the caller. */
   readonly status: number;
   readonly contentType: string;
-  /** The answer, where it was small enough to keep; else undefined. */
+  /** The response body; undefined if it was too large to keep. */
   readonly body?: string;
 }
 
-/** A claim; it is running until it has an end. */
+/** A claim; its request counts as running until `end` is set. */
 export interface Claim {
   readonly requestHash: string;
-  /** Who runs it: the entry's VM, its incarnation, the attempt's number. */
+  /** The owner: the entry's VM, its incarnation and the attempt number. */
   readonly holder: string;
-  /** Leader's wall clock, in ms, when it was granted. */
+  /** Time of the grant by the leader's wall clock, in ms. */
   readonly startedMs: number;
   readonly end?: ClaimEndState;
 }
 
-/** Asks for a claim, as it stands in the log. */
+/** Log command that requests a claim. */
 export interface ClaimBeginCommand {
   readonly type: "claimBegin";
   readonly clientAccount: string;
@@ -36,7 +36,7 @@
   readonly nowMs: number;
 }
 
-/** Records an end, as it stands in the log. */
+/** Log command that records the end of a claimed request. */
 export interface ClaimEndCommand {
   readonly type: "claimEnd";
   readonly clientAccount: string;
--- a/src/clocks/create_elapsed_clock.ts
+++ b/src/clocks/create_elapsed_clock.ts
@@ -1,50 +1,50 @@
 /**
- * A clock that counts the time for which the machine was suspended.
+ * A monotonic clock that includes the time for which the machine was suspended.
  *
- * The steady clock of the runtime stands still meanwhile, so whatever counts by it
- * believes in a lease for as long again. The time of day goes on. The runtime
- * offers no third clock that is fine enough: its uptime is read from a file, in
- * steps of 10 ms, at each call. So the two are read side by side. Where the time of
- * day gains on the steady clock, the machine was suspended or the time of day was
- * set forward; either way it counts as elapsed, which ends a lease too soon at
- * worst. Where it falls behind, it was set back: that counts as nothing.
+ * The runtime's steady clock stops during a suspension, so a lease measured by it
+ * would outlive its real duration. The wall clock continues. A third clock is not
+ * precise enough: the runtime reads its uptime from a file at each call, in steps of
+ * 10 ms. So both clocks are compared. If the wall clock gains on the steady clock,
+ * the machine was suspended or the wall clock was set forward; both count as elapsed
+ * time, which at worst ends a lease early. If it falls behind, it was set back, which
+ * is ignored.
  *
  * @module
  */
 
-/** The clocks to read; both are passed in, so that tests suspend them. */
+/** The clocks to read, passed in so that tests can simulate a suspension. */
 export interface CreateElapsedClockOptions {
-  /** Monotonic time, in ms; it may stand still while the machine is suspended. */
+  /** Monotonic time, in ms; it may stop while the machine is suspended. */
   readonly steadyNow: () => number;
-  /** Time of day, in Unix ms; it may be set. */
+  /** Wall clock time, in Unix ms; it may be set. */
   readonly dayNow: () => number;
 }
 
-/** A clock that counts suspensions. */
+/** A clock that includes suspensions. */
 export interface ElapsedClock {
-  /** Monotonic time, in ms, never less than has really elapsed. */
+  /** Monotonic time, in ms; it never advances by less than the real time. */
   now(): number;
   /**
-   * Steady time, in ms, of the last waking that was noticed; -Infinity without
-   * any. What was confirmed before it has to be confirmed anew.
+   * Steady time, in ms, at which the last suspension was detected; -Infinity if there
+   * was none. Anything confirmed before it must be confirmed again.
    */
   getWokeMs(): number;
 }
 
 /**
- * Ms by which the time of day has to gain at least: it is read in whole ms, and the
- * two are not read at the same instant.
+ * Smallest gain of the wall clock that counts as a suspension: it is read in whole ms,
+ * and the two clocks are not read at the same instant.
  */
-const LEAST_GAIN_MS = 20;
+const MIN_GAIN_MS = 20;
 
-/** Ms between two readings of the steady clock between which no reading counts. */
-const MAX_READING_MS = 2;
+/** Maximum time for reading both clocks; slower readings are not compared. */
+const MAX_READ_DURATION_MS = 2;
 
 /**
- * Makes the clock.
+ * Creates the clock.
  *
  * @param options - The clocks to read.
- * @returns The clock; it begins with the steady clock's time.
+ * @returns The clock; it starts at the steady clock's time.
  * @throws Nothing.
  * @example
  * const clock = createElapsedClock({ steadyNow, dayNow: Date.now });
@@ -53,34 +53,35 @@
   options: CreateElapsedClockOptions,
 ): ElapsedClock {
   const { steadyNow, dayNow } = options;
-  let steadyMs = steadyNow();
-  let dayMs = dayNow();
-  let missedMs = 0;
-  let wokeMs = -Infinity;
+  let referenceSteadyMs = steadyNow();
+  let referenceDayMs = dayNow();
+  let suspendedMs = 0;
+  let lastWakeMs = -Infinity;
 
   function read(): number {
     const beforeMs = steadyNow();
     const nextDayMs = dayNow();
     const nextSteadyMs = steadyNow();
-    // The process was held up in between: the next reading tells.
-    if (nextSteadyMs - beforeMs > MAX_READING_MS) return nextSteadyMs;
-    const gainMs = (nextDayMs - dayMs) - (nextSteadyMs - steadyMs);
-    // A small gain is kept until it is known for what it is.
-    if (Math.abs(gainMs) < LEAST_GAIN_MS) return nextSteadyMs;
+    // The process was paused between the readings: compare at the next call.
+    if (nextSteadyMs - beforeMs > MAX_READ_DURATION_MS) return nextSteadyMs;
+    const gainMs = (nextDayMs - referenceDayMs) -
+      (nextSteadyMs - referenceSteadyMs);
+    // The reference point stays, so that small gains add up until they count.
+    if (Math.abs(gainMs) < MIN_GAIN_MS) return nextSteadyMs;
     if (gainMs > 0) {
-      missedMs += gainMs;
-      wokeMs = nextSteadyMs;
+      suspendedMs += gainMs;
+      lastWakeMs = nextSteadyMs;
     }
-    steadyMs = nextSteadyMs;
-    dayMs = nextDayMs;
+    referenceSteadyMs = nextSteadyMs;
+    referenceDayMs = nextDayMs;
     return nextSteadyMs;
   }
 
   return {
-    now: () => read() + missedMs,
+    now: () => read() + suspendedMs,
     getWokeMs() {
       read();
-      return wokeMs;
+      return lastWakeMs;
     },
   };
 }
--- a/src/clocks/create_elapsed_clock_test.ts
+++ b/src/clocks/create_elapsed_clock_test.ts
@@ -1,5 +1,6 @@
 /**
- * What a process believes in the first moments after its machine was suspended.
+ * Guards against leases that are still considered valid right after the machine was
+ * suspended, because the steady clock did not count the suspension.
  */
 
 import { test } from "uvu";
@@ -23,7 +24,7 @@
   return { clock, pass, suspend };
 }
 
-test("without a suspension it is the steady clock", () => {
+test("without a suspension it follows the steady clock", () => {
   const { clock, pass } = startClock();
   for (let at = 0; at < 1_000; at++) {
     pass(3.3);
@@ -33,7 +34,7 @@
   assert.is(clock.getWokeMs(), -Infinity);
 });
 
-test("a suspension counts at the first reading after it", () => {
+test("a suspension is counted at the first reading after it", () => {
   const { clock, pass, suspend } = startClock();
   pass(500);
   suspend(6_000);
@@ -41,7 +42,7 @@
   assert.is(clock.getWokeMs(), 1_500);
 });
 
-test("the time of day set back is no time, and hides no later suspension", () => {
+test("setting the wall clock back is ignored and hides no later suspension", () => {
   const { clock, pass, suspend } = startClock();
   suspend(-2_000);
   assert.is(clock.now(), 1_000);
@@ -50,7 +51,7 @@
   assert.is(clock.now(), 4_100);
 });
 
-test("it never goes back, whatever is done to the time of day", () => {
+test("it never goes back, however the wall clock is set", () => {
   const { clock, pass, suspend } = startClock();
   let last = clock.now();
   for (const jumpMs of [5, -5, 2_000, -2_000, 30, -30, 19, 19, -100]) {
@@ -62,7 +63,7 @@
   }
 });
 
-test("a lease on the configuration has run out at waking", () => {
+test("a configuration lease has expired after a suspension", () => {
   const { clock, pass, suspend } = startClock();
   const { now } = clock;
   const lease = createConfigLease({ revokeMs: 5_000, now });
--- a/src/clocks/create_listening_clock.ts
+++ b/src/clocks/create_listening_clock.ts
@@ -1,26 +1,26 @@
 /**
- * A clock for the silence of others: it counts the time for which this process could
- * hear them.
+ * A clock for time-outs of other processes: it counts only the time for which this
+ * process could receive messages.
  *
- * What arrives while the event loop stands still, or the process is stopped, waits
- * unread, so silence by the steady clock then says nothing of the sender (cf. local
- * health in Lifeguard, Dadgar et al., 2018). Leases and deadlines don't go by this
- * clock: they end whether or not their holder runs.
+ * Messages that arrive while the event loop is blocked or the process is stopped wait
+ * unread, so a silence measured by the steady clock says nothing about the sender (cf.
+ * local health in Lifeguard, Dadgar et al., 2018). Leases and deadlines don't use this
+ * clock: they expire whether or not their holder runs.
  *
  * @module
  */
 
-/** A clock that counts the time for which others could be heard. */
+/** A clock that counts the time for which messages could be received. */
 export interface ListeningClock {
-  /** Ms for which others could be heard; it never goes back. */
+  /** Ms for which messages could be received; it never goes back. */
   now(): number;
-  /** Notes that the event loop runs. */
+  /** Records that the event loop is running. */
   look(options?: LookOptions): void;
 }
 
 /** Options of {@link ListeningClock.look}. */
 export interface LookOptions {
-  /** Whether what comes is taken from now on; it is by default. */
+  /** Whether messages are processed from now on; true by default. */
   readonly isListening?: boolean;
 }
 
@@ -28,19 +28,19 @@
 export interface CreateListeningClockOptions {
   /** Monotonic time, in ms. */
   readonly now: () => number;
-  /** Ms between two looks; more than one and a half times as much don't count. */
+  /** Interval between ticks; a gap counts for at most 1.5 intervals. */
   readonly lookIntervalMs: number;
-  /** Whether it counts before the first look; it does by default. */
+  /** Whether it counts before the first tick; true by default. */
   readonly isListening?: boolean;
 }
 
-/** Intervals between looks that count as one at most: timers are a little late. */
-const MAX_INTERVALS = 1.5;
+/** Maximum intervals counted between two ticks; above 1 as timers fire a bit late. */
+const MAX_COUNTED_INTERVALS = 1.5;
 
 /**
- * Makes the clock, at 0.
+ * Creates the clock, at 0.
  *
- * @param options - The steady clock, and how often it is looked at.
+ * @param options - The steady clock, and the interval of the ticks.
  * @returns The clock.
  * @throws Nothing.
  * @example
@@ -51,22 +51,22 @@
   options: CreateListeningClockOptions,
 ): ListeningClock {
   const { now, lookIntervalMs } = options;
-  const maxStepMs = lookIntervalMs * MAX_INTERVALS;
+  const maxStepMs = lookIntervalMs * MAX_COUNTED_INTERVALS;
   let { isListening = true } = options;
   let countedMs = 0;
-  let lookedMs = now();
+  let lastTickMs = now();
 
   function read(): number {
     if (!isListening) return countedMs;
-    return countedMs + Math.min(now() - lookedMs, maxStepMs);
+    return countedMs + Math.min(now() - lastTickMs, maxStepMs);
   }
 
   return {
     now: read,
-    look({ isListening: listens = true } = {}) {
+    look({ isListening: nextIsListening = true } = {}) {
       countedMs = read();
-      lookedMs = now();
-      isListening = listens;
+      lastTickMs = now();
+      isListening = nextIsListening;
     },
   };
 }
--- a/src/clocks/create_listening_clock_test.ts
+++ b/src/clocks/create_listening_clock_test.ts
@@ -2,28 +2,28 @@
 import * as assert from "uvu/assert";
 import { createListeningClock } from "./create_listening_clock.ts";
 
-const LOOK_INTERVAL_MS = 100;
+const TICK_INTERVAL_MS = 100;
 
 function startClock() {
   let nowMs = 5_000;
   const clock = createListeningClock({
     now: () => nowMs,
-    lookIntervalMs: LOOK_INTERVAL_MS,
+    lookIntervalMs: TICK_INTERVAL_MS,
   });
   return { clock, pass: (ms: number) => void (nowMs += ms) };
 }
 
-test("with looks in time it is the steady clock", () => {
+test("with regular ticks it follows the steady clock", () => {
   const { clock, pass } = startClock();
   for (let at = 0; at < 50; at++) {
-    pass(LOOK_INTERVAL_MS);
+    pass(TICK_INTERVAL_MS);
     clock.look();
   }
   pass(40);
   assert.is(clock.now(), 5_040);
 });
 
-test("a loop that stood still counts as one late look", () => {
+test("a blocked event loop counts as one late tick", () => {
   const { clock, pass } = startClock();
   pass(4_000);
   assert.is(clock.now(), 150);
@@ -32,7 +32,7 @@
   assert.is(clock.now(), 160);
 });
 
-test("it stands still while nothing is taken", () => {
+test("it stops while messages are not processed", () => {
   const { clock, pass } = startClock();
   pass(100);
   clock.look({ isListening: false });
--- a/src/clocks/index.ts
+++ b/src/clocks/index.ts
@@ -1,5 +1,5 @@
 /**
- * Clocks for what may be believed for a while only.
+ * Clocks for leases and time-outs.
  *
  * @module
  */
--- a/src/clocks/start_loop_watch.ts
+++ b/src/clocks/start_loop_watch.ts
@@ -1,48 +1,48 @@
 /**
- * Notices when the event loop of this process stood still.
+ * Detects that the event loop of this process was blocked.
  *
  * @module
  */
 
-/** A time for which nothing else could run. */
-export interface LoopDelay {
-  /** Ms beyond the interval after which the watch was due. */
+/** A time for which the event loop was blocked. */
+export interface EventLoopDelay {
+  /** Ms by which the monitor's timer fired late. */
   readonly delayMs: number;
 }
 
-/** Whom to tell, and the clock to read. */
+/** Options of {@link startLoopWatch}. */
 export interface StartLoopWatchOptions {
-  /** Called after each delay that is long enough to be felt. */
-  readonly onDelay: (delay: LoopDelay) => void;
+  /** Called after each delay that reaches the threshold. */
+  readonly onDelay: (delay: EventLoopDelay) => void;
   /** Monotonic time, in ms. */
   readonly now: () => number;
 }
 
-/** Shortest delay, in ms, that is told. */
-const LOOP_DELAY_MS = 200;
+/** Shortest delay that is reported. */
+const MIN_REPORTED_DELAY_MS = 200;
 
-/** Ms between two looks. */
-const INTERVAL_MS = 100;
+/** Interval of the timer. */
+const CHECK_INTERVAL_MS = 100;
 
 /**
- * Starts the watch. A suspended process counts as delayed too.
+ * Starts the monitor. A suspension of the process is reported as a delay too.
  *
- * @param options - Whom to tell.
- * @returns What ends the watch.
+ * @param options - The callback and the clock.
+ * @returns A disposable that stops the monitor.
  * @throws Nothing.
  * @example
  * using watch = startLoopWatch({ onDelay, now: () => performance.now() });
  */
 export function startLoopWatch(options: StartLoopWatchOptions): Disposable {
   const { onDelay, now } = options;
-  let dueMs = now() + INTERVAL_MS;
+  let dueMs = now() + CHECK_INTERVAL_MS;
 
-  function look(): void {
+  function check(): void {
     const delayMs = Math.round(now() - dueMs);
-    dueMs = now() + INTERVAL_MS;
-    if (delayMs >= LOOP_DELAY_MS) onDelay({ delayMs });
+    dueMs = now() + CHECK_INTERVAL_MS;
+    if (delayMs >= MIN_REPORTED_DELAY_MS) onDelay({ delayMs });
   }
 
-  const timer = setInterval(look, INTERVAL_MS);
+  const timer = setInterval(check, CHECK_INTERVAL_MS);
   return { [Symbol.dispose]: () => clearInterval(timer) };
 }
--- a/src/clocks/start_loop_watch_test.ts
+++ b/src/clocks/start_loop_watch_test.ts
@@ -1,14 +1,14 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { type LoopDelay, startLoopWatch } from "./start_loop_watch.ts";
+import { type EventLoopDelay, startLoopWatch } from "./start_loop_watch.ts";
 
-test("an event loop that stood still is told with how long", async () => {
+test("a blocked event loop is reported with the length of the delay", async () => {
   let nowMs = 0;
-  const delay = await new Promise<LoopDelay>((resolve) => {
-    const watch = startLoopWatch({
-      onDelay(told) {
-        watch[Symbol.dispose]();
-        resolve(told);
+  const delay = await new Promise<EventLoopDelay>((resolve) => {
+    const monitor = startLoopWatch({
+      onDelay(reported) {
+        monitor[Symbol.dispose]();
+        resolve(reported);
       },
       now: () => nowMs,
     });
--- a/src/collections/find_map_changes.ts
+++ b/src/collections/find_map_changes.ts
@@ -4,11 +4,11 @@
  * @module
  */
 
-/** What has to be told for one map to become another. */
+/** The changes that turn one map into another. */
 export interface MapChanges<Key, Value> {
-  /** Values that are new or differ, in the order of the newer map. */
+  /** Values that are new or different, in the order of the newer map. */
   readonly changed: readonly Value[];
-  /** Keys that are no longer there. */
+  /** Keys that were removed. */
   readonly gone: readonly Key[];
 }
 
@@ -17,11 +17,11 @@
  *
  * @param before - The older map.
  * @param after - The newer map.
- * @param isSame - Whether two values of one key say the same.
- * @returns The changes; both lists are empty where there are none.
+ * @param isSame - Whether two values of the same key are equal.
+ * @returns The changes; both lists are empty if there are none.
  * @throws Nothing.
  * @example
- * const { changed, gone } = findMapChanges(told, current, isSameGateway);
+ * const { changed, gone } = findMapChanges(published, current, isSameGateway);
  */
 export function findMapChanges<Key, Value>(
   before: ReadonlyMap<Key, Value>,
@@ -29,8 +29,8 @@
   isSame: (a: Value, b: Value) => boolean,
 ): MapChanges<Key, Value> {
   const isChanged = ([key, value]: readonly [Key, Value]) => {
-    const known = before.get(key);
-    return known === undefined || !isSame(known, value);
+    const previous = before.get(key);
+    return previous === undefined || !isSame(previous, value);
   };
   return {
     changed: [...after].filter(isChanged).map(([, value]) => value),
--- a/src/collections/find_map_changes_test.ts
+++ b/src/collections/find_map_changes_test.ts
@@ -4,7 +4,7 @@
 
 const isSame = (a: number, b: number) => a === b;
 
-test("new and different values are changes, missing keys are gone", () => {
+test("new and different values are reported as changed, missing keys as gone", () => {
   const before = new Map([["same", 1], ["other", 2], ["gone", 3]]);
   const after = new Map([["new", 4], ["same", 1], ["other", 5]]);
   assert.equal(findMapChanges(before, after, isSame), {
@@ -13,7 +13,7 @@
   });
 });
 
-test("a map that stayed as it was has no changes", () => {
+test("an equal map has no changes", () => {
   const map = new Map([["a", 1]]);
   assert.equal(findMapChanges(map, new Map(map), isSame), {
     changed: [],
--- a/src/collections/forget_oldest.ts
+++ b/src/collections/forget_oldest.ts
@@ -1,10 +1,10 @@
 /**
- * Bounds what is remembered.
+ * Bounds the size of a collection.
  *
  * @module
  */
 
-/** A map or a set; either keeps its keys in the order in which they came. */
+/** A map or a set; both iterate their keys in insertion order. */
 export interface OrderedKeys<Key> {
   readonly size: number;
   keys(): Iterable<Key>;
@@ -12,10 +12,10 @@
 }
 
 /**
- * Forgets the oldest keys of a map or a set that holds too many.
+ * Evicts the oldest keys of a map or a set that exceeds its maximum size.
  *
  * @param collection - The map or set; changed in place.
- * @param most - Keys that it may hold.
+ * @param maxSize - Maximum number of keys.
  * @returns Nothing.
  * @throws Nothing.
  * @example
@@ -23,10 +23,10 @@
  */
 export function forgetOldest<Key>(
   collection: OrderedKeys<Key>,
-  most: number,
+  maxSize: number,
 ): void {
   for (const key of collection.keys()) {
-    if (collection.size <= most) return;
+    if (collection.size <= maxSize) return;
     collection.delete(key);
   }
 }
--- a/src/collections/forget_oldest_test.ts
+++ b/src/collections/forget_oldest_test.ts
@@ -2,7 +2,7 @@
 import * as assert from "uvu/assert";
 import { forgetOldest } from "./forget_oldest.ts";
 
-test("the oldest of a map and of a set are forgotten", () => {
+test("the oldest keys of a map and of a set are evicted", () => {
   const map = new Map([["a", 1], ["b", 2], ["c", 3]]);
   const set = new Set(["a", "b", "c"]);
   forgetOldest(map, 2);
@@ -11,13 +11,13 @@
   assert.equal([...set], ["c"]);
 });
 
-test("what isn't full keeps all", () => {
+test("a collection at its maximum size keeps all keys", () => {
   const set = new Set(["a", "b"]);
   forgetOldest(set, 2);
   assert.is(set.size, 2);
 });
 
-test("what is put anew counts as newest", () => {
+test("a key that is deleted and set again counts as the newest", () => {
   const map = new Map([["a", 1], ["b", 2]]);
   map.delete("a");
   map.set("a", 3);
--- a/src/collections/index.ts
+++ b/src/collections/index.ts
@@ -1,5 +1,5 @@
 /**
- * Collections that are bounded or compared.
+ * Helpers that bound or compare collections.
  *
  * @module
  */
--- a/src/quarantine/constants.ts
+++ b/src/quarantine/constants.ts
@@ -1,43 +1,45 @@
 /**
- * How requests that end upstreams are judged.
+ * Thresholds and durations of the quarantine.
  *
  * @module
  */
 
 /**
- * Upstreams that end under a request before it runs on trial only. One may be
- * chance: nine of 39 engines lost at once end under as many requests each. The
- * trial's is the third and the last, where callers may see four.
+ * Number of upstreams that crash under a request before it may run on trial only. A
+ * single crash may be a coincidence: engines that fail together, such as nine of 39 at
+ * once, each fail under many unrelated requests. The crash on trial is the third and
+ * last one; callers may see up to four.
  */
 export const CRASHES_BEFORE_TRIAL = 2;
 
-/** Ends that a case remembers: the newest are dropped last. */
+/** Maximum number of crashes kept per case; the oldest are dropped first. */
 export const MAX_CASE_ENGINES = 8;
 
 /**
- * Cases that are kept: 40 of the calm ones stand for one upstream's end under load,
- * and most are cleared within a second. Those without a conviction and with
- * the fewest ends go first, the oldest of them before the others.
+ * Maximum number of cases. One crash under load adds about 40 cases of innocent
+ * requests, most of which are cleared within a second. Cases without a conviction and
+ * with the fewest crashes are evicted first, and the oldest among equals.
  */
 export const MAX_CASES = 1_000;
 
-/** Ms for which a convicted request is held back at first: longer than callers try. */
+/** Hold after the first conviction; longer than callers keep retrying. */
 export const FIRST_HOLD_MS = 300_000;
 
-/** Ms for which it is held back at most, however often it was convicted. */
+/** Upper bound of a hold, however often the request was convicted. */
 export const MAX_HOLD_MS = 3_600_000;
 
-/** Ms after which a suspicion is forgotten that nothing has confirmed. */
+/** Retention of a suspicion that has not been confirmed. */
 export const SUSPICION_AGE_MS = 600_000;
 
-/** Ms after the end of a hold after which a conviction is forgotten. */
+/** Retention of a conviction after the end of its hold. */
 export const CONVICTION_AGE_MS = 3_600_000;
 
-/** Ms, from the moment at which a gateway asks, for which a trial may begin. */
+/** Time, from the gateway's request, within which a trial must start. */
 export const TRIAL_MS = 5_000;
 
 /**
- * Ms for which a trial keeps other suspects off its upstream, unless its gateway says
- * that it has ended: as long as callers wait, for it may wait for its turn there.
+ * Maximum time for which a trial keeps other suspects off its upstream, unless its
+ * gateway reports the end earlier. As long as callers wait, since the trial may be
+ * queued at the upstream.
  */
 export const MAX_TRIAL_MS = 25_000;
--- a/src/quarantine/get_hold_ms.ts
+++ b/src/quarantine/get_hold_ms.ts
@@ -1,5 +1,5 @@
 /**
- * For how long a convicted request is held back.
+ * Duration of the hold of a convicted request.
  *
  * @module
  */
@@ -7,11 +7,11 @@
 import { FIRST_HOLD_MS, MAX_HOLD_MS } from "./constants.ts";
 
 /**
- * Gets for how long a request is held back after a conviction: twice as long
- * after each one. Afterwards it may prove itself on trial.
+ * Gets the duration of the hold after a conviction, which doubles with each one.
+ * After the hold the request may run on trial again.
  *
- * @param convictions - How often it was convicted.
- * @returns Ms; 0 without a conviction.
+ * @param convictions - Number of convictions.
+ * @returns The duration in ms; 0 without a conviction.
  * @throws Nothing.
  * @example
  * getHoldMs(1); // 300000
--- a/src/quarantine/index.ts
+++ b/src/quarantine/index.ts
@@ -1,5 +1,5 @@
 /**
- * Finds requests that end the upstreams that run them, and holds them back.
+ * Detects requests that crash the upstreams that run them, and holds them back.
  *
  * @module
  */
--- a/src/quarantine/quarantine_test.ts
+++ b/src/quarantine/quarantine_test.ts
@@ -15,21 +15,21 @@
   return { requestKey, engineId, isTrial };
 }
 
-test("one upstream's end counts once, however many tell of it", () => {
+test("a crash counts once, however many reports there are", () => {
   const cases = takeCrashes(NONE, [crash("r", "e1"), crash("r", "e1")]);
   assert.equal(cases.get("r")?.engineIds, ["e1"]);
   assert.not.ok(needsTrial({ engineIds: ["e1"] }));
   assert.is(takeCrashes(cases, [crash("r", "e1")]), cases);
 });
 
-test("nine upstreams lost at once convict nobody", () => {
+test("nine upstreams that fail at once lead to no conviction", () => {
   const reports = Array.from({ length: 9 }, (_, at) => crash("r", `e${at}`));
   const one = takeCrashes(NONE, reports).get("r");
   assert.is(one?.convictions, 0);
   assert.ok(one && needsTrial(one));
 });
 
-test("a conviction clears those that ran beside the guilty one", () => {
+test("a conviction clears requests that ran on the same upstreams", () => {
   const beside = ["e1", "e2", "e3"].flatMap((engineId) => [
     crash("guilty", engineId),
     crash("beside", engineId),
@@ -49,14 +49,14 @@
   assert.not.ok(cases.has("late"));
 });
 
-test("the list is bounded, and convictions are dropped last", () => {
-  const guilty = [crash("g", "a"), crash("g", "b"), crash("g", "c", true)];
+test("the number of cases is bounded, and convictions are evicted last", () => {
+  const convicted = [crash("g", "a"), crash("g", "b"), crash("g", "c", true)];
   const many = Array.from({ length: 20 }, (_, at) => crash(`r${at}`, `e${at}`));
-  const cases = takeCrashes(NONE, [...guilty, ...many], { maxCases: 5 });
+  const cases = takeCrashes(NONE, [...convicted, ...many], { maxCases: 5 });
   assert.equal([...cases.keys()], ["g", "r16", "r17", "r18", "r19"]);
 });
 
-test("holds double, up to a bound", () => {
+test("the hold doubles with each conviction, up to a maximum", () => {
   assert.is(getHoldMs(0), 0);
   assert.is(getHoldMs(2), 2 * getHoldMs(1));
   assert.is(getHoldMs(50), MAX_HOLD_MS);
--- a/src/quarantine/take_crashes.ts
+++ b/src/quarantine/take_crashes.ts
@@ -1,5 +1,5 @@
 /**
- * Takes reports of ended upstreams into the cases.
+ * Records reported crashes of upstreams in the cases of requests.
  *
  * @module
  */
@@ -12,13 +12,14 @@
 import type { CrashCase, CrashCases, JudgedReport } from "./types.ts";
 
 /**
- * Takes reports into the cases. An end that a convicted request has caused speaks
- * against nobody else: what ran beside it is cleared of it, before and after.
+ * Records crash reports in the cases. A crash that a convicted request has caused
+ * counts against no other request: earlier reports of it are removed from their cases,
+ * and later ones are ignored.
  *
  * @param cases - The cases.
- * @param reports - The reports, in the order in which they came.
- * @param options - Cases that are kept at most.
- * @returns The cases after them; the same object where nothing changed.
+ * @param reports - The reports, in order of arrival.
+ * @param options - Maximum number of cases.
+ * @returns The updated cases; the same object if nothing changed.
  * @throws Nothing.
  * @example
  * const next = takeCrashes(cases, [{ requestKey, engineId, isTrial: false }]);
@@ -29,15 +30,15 @@
   options: { readonly maxCases?: number } = {},
 ): CrashCases {
   const { maxCases = MAX_CASES } = options;
-  const next = reports.reduce(takeReport, cases);
-  return next === cases ? cases : dropLeast(next, maxCases);
+  const next = reports.reduce(recordCrash, cases);
+  return next === cases ? cases : evictLeastSuspect(next, maxCases);
 }
 
 /**
- * Whether an upstream's end is put down to a request that was convicted for it.
+ * Whether a crash is attributed to a request that was convicted.
  *
  * @param cases - The cases.
- * @param engineId - The upstream's run.
+ * @param engineId - The upstream's incarnation.
  * @returns Whether it is.
  * @throws Nothing.
  * @example
@@ -52,17 +53,17 @@
 /**
  * Whether a request may run on trial only.
  *
- * @param crashCase - What is known against it.
- * @returns Whether it may.
+ * @param crashCase - The request's case.
+ * @returns Whether it may run on trial only.
  * @throws Nothing.
  * @example
- * if (needsTrial(crashCase)) return askForTrial();
+ * if (needsTrial(crashCase)) return requestTrial();
  */
 export function needsTrial(crashCase: Pick<CrashCase, "engineIds">): boolean {
   return crashCase.engineIds.length >= CRASHES_BEFORE_TRIAL;
 }
 
-function takeReport(cases: CrashCases, report: JudgedReport): CrashCases {
+function recordCrash(cases: CrashCases, report: JudgedReport): CrashCases {
   const { requestKey, engineId, isTrial } = report;
   const known = cases.get(requestKey) ??
     { requestKey, engineIds: [], convictions: 0 };
@@ -75,18 +76,18 @@
     engineIds,
     convictions,
   });
-  return isTrial ? clearOthers(next, { requestKey, engineIds }) : next;
+  return isTrial ? clearOtherCases(next, { requestKey, engineIds }) : next;
 }
 
-function clearOthers(
+function clearOtherCases(
   cases: CrashCases,
-  guilty: Pick<CrashCase, "requestKey" | "engineIds">,
+  convicted: Pick<CrashCase, "requestKey" | "engineIds">,
 ): CrashCases {
   const next = new Map<string, CrashCase>();
   for (const [key, one] of cases) {
-    const isOther = key !== guilty.requestKey && one.convictions === 0;
+    const isOther = key !== convicted.requestKey && one.convictions === 0;
     const engineIds = isOther
-      ? one.engineIds.filter((id) => !guilty.engineIds.includes(id))
+      ? one.engineIds.filter((id) => !convicted.engineIds.includes(id))
       : one.engineIds;
     if (engineIds.length === one.engineIds.length) next.set(key, one);
     else if (engineIds.length > 0) next.set(key, { ...one, engineIds });
@@ -94,15 +95,15 @@
   return next;
 }
 
-// A sort keeps the order of what weighs the same: the oldest stand first.
-function dropLeast(cases: CrashCases, maxCases: number): CrashCases {
+// The sort is stable, so that the oldest of equal cases come first.
+function evictLeastSuspect(cases: CrashCases, maxCases: number): CrashCases {
   if (cases.size <= maxCases) return cases;
-  const weigh = (one: CrashCase) =>
+  const getWeight = (one: CrashCase) =>
     one.convictions * MAX_CASE_ENGINES + one.engineIds.length;
-  const dropped = [...cases.values()]
-    .sort((a, b) => weigh(a) - weigh(b))
+  const evicted = [...cases.values()]
+    .sort((a, b) => getWeight(a) - getWeight(b))
     .slice(0, cases.size - maxCases);
   const next = new Map(cases);
-  for (const { requestKey } of dropped) next.delete(requestKey);
+  for (const { requestKey } of evicted) next.delete(requestKey);
   return next;
 }
--- a/src/quarantine/types.ts
+++ b/src/quarantine/types.ts
@@ -1,30 +1,30 @@
 /**
- * Requests that are suspected of ending the upstreams that run them.
+ * Requests that are suspected of crashing the upstreams that run them.
  *
  * @module
  */
 
-/** What is known against a request. */
+/** The crashes attributed to a request. */
 export interface CrashCase {
-  /** The same for all tries of the request. */
+  /** The same for all attempts of the request. */
   readonly requestKey: string;
-  /** Runs of upstreams that ended when they had just begun it, oldest first. */
+  /** Incarnations that crashed shortly after they started it, oldest first. */
   readonly engineIds: readonly string[];
-  /** How often its upstream ended while it ran there as the only suspect. */
+  /** Number of crashes while it was the only suspect at the upstream. */
   readonly convictions: number;
 }
 
-/** An upstream that ended when it had just begun a request. */
+/** A crash of an upstream shortly after it started a request. */
 export interface CrashReport {
   readonly requestKey: string;
   readonly engineId: string;
 }
 
-/** A report as the leader judged it. */
+/** A crash report with the leader's information about trials. */
 export interface JudgedReport extends CrashReport {
-  /** Whether the request ran there on trial: as the only suspect. */
+  /** Whether the request ran there on trial, as the only suspect. */
   readonly isTrial: boolean;
 }
 
-/** The cases by request. */
+/** The cases by request key. */
 export type CrashCases = ReadonlyMap<string, CrashCase>;
