--- a/src/gateway/create_caller_server.ts
+++ b/src/gateway/create_caller_server.ts
@@ -8,7 +8,7 @@
 import type { Socket } from "node:net";
 import Fastify, { type FastifyInstance } from "fastify";
 
-/** A request as it came. */
+/** A request as received. */
 export interface ReceivedRequest {
   readonly message: IncomingMessage;
   readonly response: ServerResponse;
@@ -16,23 +16,23 @@
   readonly target: string;
 }
 
-/** A listener that keeps its connections until somebody takes them. */
+/** A listener that holds connections until a server is ready for them. */
 export interface EarlyListener {
-  /** Gives the connections that wait, and all later ones. */
+  /** Passes on the held connections, and all later ones. */
   take(onConnection: (socket: Socket) => void): void;
 }
 
-/** Header that is read; the platform's callers stay within it. */
+/** Maximum request header size; the platform's callers stay below it. */
 const MAX_HEADER_BYTES = 32 * 1024;
 
-/** Ms for which an idle connection is kept where no configuration says. */
-const DEFAULT_IDLE_MS = 16_000;
+/** Idle timeout of connections before there is a configuration. */
+const DEFAULT_IDLE_TIMEOUT_MS = 16_000;
 
 /**
- * Makes the server. Routes come from the configuration, so the library's router
- * sees one path only.
+ * Creates the server. Routes come from the configuration, so every request is
+ * rewritten to a single path for the router of the library.
  *
- * @param onRequest - Takes each request, its body unread.
+ * @param onRequest - Called with each request; its body is unread.
  * @returns The server, not yet listening.
  * @throws Nothing.
  * @example
@@ -45,7 +45,7 @@
     logger: false,
     exposeHeadRoutes: false,
     http: { maxHeaderSize: MAX_HEADER_BYTES },
-    keepAliveTimeout: DEFAULT_IDLE_MS,
+    keepAliveTimeout: DEFAULT_IDLE_TIMEOUT_MS,
     rewriteUrl: () => "/",
   });
   server.removeAllContentTypeParsers();
@@ -62,13 +62,13 @@
 }
 
 /**
- * Begins to take callers: those of a listener that was open before, or on an
- * address of its own.
+ * Starts accepting connections, either those of an early listener or on an address of
+ * its own.
  *
  * @param server - The server.
- * @param options - The early listener, if there is one, and the address.
+ * @param options - The address, and the early listener if there is one.
  * @returns A promise that resolves once callers are served.
- * @throws {Error} When the address is taken.
+ * @throws {Error} When the address is already in use.
  * @example
  * await listenForCallers(server, { host, port });
  */
--- a/src/gateway/create_config_lease.ts
+++ b/src/gateway/create_config_lease.ts
@@ -1,39 +1,39 @@
 /**
- * For how long a gateway may trust the configuration that it holds.
+ * Lease that bounds how long a gateway may use its configuration unconfirmed.
  *
  * @module
  */
 
-/** What the lease needs of its program. */
+/** Options of {@link createConfigLease}. */
 export interface CreateConfigLeaseOptions {
-  /** Ms from an acceptance until a key that it took away must be refused. */
+  /** Ms from the acceptance of a change until a key that it removes must be refused. */
   readonly revokeMs: number;
   /** Monotonic time, in ms. */
   readonly now: () => number;
 }
 
-/** A lease on the configuration in force. */
+/** A lease on the active configuration. */
 export interface ConfigLease {
-  /** The leader surely held `version` after `sentMs`. */
+  /** Renews the lease: the leader had `version` at `sentMs` or later. */
   confirm(confirmed: { sentMs: number; version: number; held: number }): void;
   isValid(): boolean;
-  /** Whether it was confirmed since the gateway started. */
+  /** Whether it has been confirmed since the gateway started. */
   wasEverValid(): boolean;
-  /** Ms that are left of it; below 0 once it has run out. */
+  /** Ms left until it expires; negative afterwards. */
   getLeftMs(): number;
 }
 
-/** Ms kept back for a request on its way to an upstream. */
+/** Safety margin for requests that are on their way to an upstream. */
 const MARGIN_MS = 300;
 
 /**
- * Makes the lease, run out.
+ * Creates an expired lease.
  *
- * A change that is accepted after the gateway asked can't be older than the
- * question: counted from the moment of asking, the lease ends before any key
- * that such a change took away has to be refused.
+ * The lease counts from the moment the gateway sent its heartbeat. A change that the
+ * answer doesn't cover was accepted after that moment, so the lease expires before a
+ * key removed by such a change must be refused.
  *
- * @param options - The bound and the time.
+ * @param options - The time bound and the clock.
  * @returns The lease.
  * @throws Nothing.
  * @example
@@ -43,15 +43,15 @@
   options: CreateConfigLeaseOptions,
 ): ConfigLease {
   const { revokeMs, now } = options;
-  let untilMs = -Infinity;
+  let expiresMs = -Infinity;
   return {
     confirm({ sentMs, version, held }) {
-      // What is not yet in force here proves nothing about what is.
+      // A confirmation of a newer version says nothing about the active one.
       if (held < version) return;
-      untilMs = Math.max(untilMs, sentMs + revokeMs - MARGIN_MS);
+      expiresMs = Math.max(expiresMs, sentMs + revokeMs - MARGIN_MS);
     },
-    isValid: () => now() < untilMs,
-    wasEverValid: () => untilMs > -Infinity,
-    getLeftMs: () => untilMs - now(),
+    isValid: () => now() < expiresMs,
+    wasEverValid: () => expiresMs > -Infinity,
+    getLeftMs: () => expiresMs - now(),
   };
 }
--- a/src/gateway/create_control_choice_test.ts
+++ b/src/gateway/create_control_selector_test.ts
@@ -1,12 +1,12 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { createControlChoice } from "./create_control_choice.ts";
+import { createControlSelector } from "./create_control_selector.ts";
 
 const NONE: ReadonlySet<string> = new Set();
 
-function startChoice(addresses: readonly string[]) {
+function startSelector(addresses: readonly string[]) {
   const state = { nowMs: 0 };
-  const choice = createControlChoice({
+  const choice = createControlSelector({
     listAddresses: () => addresses,
     now: () => state.nowMs,
     random: () => 1,
@@ -14,21 +14,21 @@
   return { choice, state };
 }
 
-test("those that are being asked are passed over", () => {
-  const { choice } = startChoice(["a", "b"]);
+test("addresses with a pending attempt are skipped", () => {
+  const { choice } = startSelector(["a", "b"]);
   assert.is(choice.findNext(NONE), "a");
   assert.is(choice.findNext(new Set(["a"])), "b");
   assert.is(choice.findNext(new Set(["a", "b"])), undefined);
 });
 
-test("who failed waits longer each time, and comes after the others", () => {
-  const { choice, state } = startChoice(["a", "b"]);
-  choice.noteFailure("a");
+test("a failed address waits longer each time, and comes after the others", () => {
+  const { choice, state } = startSelector(["a", "b"]);
+  choice.recordFailure("a");
   assert.is(choice.findNext(NONE), "b");
   assert.is(choice.findNext(new Set(["b"])), undefined);
   state.nowMs = 100;
   assert.is(choice.findNext(new Set(["b"])), "a");
-  choice.noteFailure("a");
+  choice.recordFailure("a");
   state.nowMs = 299;
   assert.is(choice.findNext(new Set(["b"])), undefined);
   state.nowMs = 300;
@@ -36,9 +36,9 @@
   assert.is(choice.findNext(new Set(["b"])), "a");
 });
 
-test("who was named as the leader comes first, also where it was not known", () => {
-  const { choice, state } = startChoice(["a", "b"]);
-  choice.noteNamed("c", { by: "b" });
+test("the named leader comes first, even if its address was unknown", () => {
+  const { choice, state } = startSelector(["a", "b"]);
+  choice.recordLeader("c", { by: "b" });
   assert.is(choice.findNext(NONE), "c");
   assert.is(choice.findNext(new Set(["c"])), "a");
   assert.is(choice.findNext(new Set(["a", "c"])), undefined);
@@ -46,20 +46,20 @@
   assert.is(choice.findNext(new Set(["a", "c"])), "b");
 });
 
-test("a leader that was named but does not answer isn't asked without a pause", () => {
-  const { choice } = startChoice(["a", "b"]);
-  choice.noteNamed("a", { by: "b" });
-  choice.noteFailure("a");
+test("a named leader that does not answer is retried only after a back-off", () => {
+  const { choice } = startSelector(["a", "b"]);
+  choice.recordLeader("a", { by: "b" });
+  choice.recordFailure("a");
   assert.is(choice.findNext(NONE), undefined);
 });
 
-test("the leader that was lost is asked last, without a wait", () => {
-  const { choice } = startChoice(["a", "b"]);
-  choice.noteLost("a");
+test("a lost leader is tried last, without a wait", () => {
+  const { choice } = startSelector(["a", "b"]);
+  choice.recordLost("a");
   assert.is(choice.findNext(NONE), "b");
   assert.is(choice.findNext(new Set(["b"])), "a");
-  choice.noteNamed("a");
-  assert.is(choice.findNext(NONE), "a", "it leads all the same");
+  choice.recordLeader("a");
+  assert.is(choice.findNext(NONE), "a", "it was named as the leader again");
   choice.reset();
   assert.is(choice.findNext(NONE), "a");
 });
--- a/src/gateway/create_fleet_link.ts
+++ b/src/gateway/create_fleet_link.ts
@@ -1,5 +1,5 @@
 /**
- * A gateway's session with the control process that leads.
+ * A gateway's session with the leader of the control processes.
  *
  * @module
  */
@@ -25,39 +25,39 @@
   createClientCredentials,
   wire,
 } from "../wire/index.ts";
-import { createControlChoice } from "./create_control_choice.ts";
+import { createControlSelector } from "./create_control_selector.ts";
 import type { QuarantineTold } from "./create_quarantine.ts";
 
-/** What the link needs of its program. */
+/** Options of {@link createFleetLink}. */
 export interface CreateFleetLinkOptions {
-  /** Control processes to begin with; read anew for each search. */
+  /** Initial control process addresses; read again for each search. */
   readonly getSeedAddresses: () => readonly string[];
   readonly getGateway: () => GatewayRecord;
-  /** Gateways that lose a leader together with this one; 0 before it was told of any. */
+  /** Number of gateways in the fleet; 0 until the leader has sent the list. */
   readonly getGatewayCount: () => number;
-  /** Version of the configuration in force here; -1 without any. */
+  /** Version of the active configuration; -1 if there is none. */
   readonly getVersion: () => number;
   readonly takeSuspects: () => readonly string[];
-  /** Engines that questions found lost since the last call. */
+  /** Returns and clears the engines that probes found failed. */
   readonly takeLost: () => readonly string[];
-  /** Engines of streams that had long pauses since the last call. */
+  /** Returns and clears the engines whose streams had long pauses. */
   readonly takeSlow: () => readonly string[];
-  /** Upstreams that said that they leave, which the leader may not know. */
+  /** Upstreams that announced that they leave, if the leader may not know. */
   readonly listLeaves: () => readonly string[];
-  /** This gateway's work in flight. */
+  /** Load of the engines caused by this gateway's requests in flight. */
   readonly getLoads: () => EngineLoads;
-  /** Repeats that this gateway would borrow, by service. */
+  /** Retries that this gateway wants to borrow, by service. */
   readonly getRepeatsWanted: () => Readonly<Record<string, number>>;
-  /** What this gateway's streams did since the last call. */
+  /** Returns and resets the activity of this gateway's streams. */
   readonly takeActivity: () => GatewayActivity;
-  /** What the leader is told of suspected requests. */
+  /** Pending quarantine reports and trial requests for the leader. */
   readonly getQuarantineNews: () => QuarantineTold;
-  /** Rate limits of upstreams of which the leader has not been told. */
+  /** Returns and clears the upstream rate limits not yet reported to the leader. */
   readonly takeLimitReports: () => readonly LimitReport[];
-  /** Called by each leader that takes it in, with what it knows. */
+  /** Called with the state sent by each leader that accepts this gateway. */
   readonly onWelcome: (welcome: LeaderMessage & { type: "welcome" }) => void;
   readonly onMessage: (message: LeaderMessage) => void;
-  /** Called when the leader surely held this version at `sentMs`. */
+  /** Called when the leader confirms that it had `version` at `sentMs` or later. */
   readonly onConfirmed: (sentMs: number, version: number) => void;
   /** Monotonic time, in ms. */
   readonly now: () => number;
@@ -68,90 +68,91 @@
 
 /** A gateway's session with the leader. */
 export interface FleetLink extends AsyncDisposable {
-  /** Sends a beat at once, for news that must not wait. */
+  /** Sends a heartbeat at once, for urgent reports. */
   beat(): void;
-  /** Sends a beat in a moment, together with what else is found meanwhile. */
-  beatSoon(): void;
-  /** Asks for leave to send to upstreams that are limited; false without a session. */
+  /** Sends a heartbeat after a few ms, so that several reports share it. */
+  scheduleHeartbeat(): void;
+  /** Requests grants to send to rate-limited upstreams; false without a session. */
   requestGrants(counts: GrantCounts, askedMs: number): boolean;
-  /** Ends the session; the next one begins with a hello again. */
-  renew(): void;
+  /** Closes the session, so that a new one starts with a hello. */
+  reconnect(): void;
 }
 
-/** Ms between two beats. */
-const BEAT_INTERVAL_MS = 350;
+/** Interval between heartbeats. */
+const HEARTBEAT_INTERVAL_MS = 350;
 
-/** Ms for which news that must not wait is gathered into one beat. */
-const GATHER_MS = 5;
+/** Time for which urgent reports are collected into one heartbeat. */
+const HEARTBEAT_BATCH_MS = 5;
 
-/** Ms of silence after which the leader is looked for anew. */
-const SILENCE_MS = 1_200;
+/** Time without a message after which the session is closed and the leader searched. */
+const LEADER_TIMEOUT_MS = 1_200;
 
 /**
- * Ms, for each gateway, over which those that lost a leader look for the next
- * one. 200 sessions that come within half a second cost the leader some 0.3 s of a
- * core (real processes, loopback), nearly all that a small VM has meanwhile. What
- * the spread gains by itself was not measured.
+ * Ms of jitter per gateway in the fleet before the search for a new leader. 200
+ * sessions opened within half a second cost the leader about 0.3 s of CPU time (real
+ * processes, loopback), nearly all that a small VM has in that time. The gain from
+ * the jitter alone is unknown.
  */
-const SEARCH_SPREAD_MS = 3;
+const SEARCH_JITTER_PER_GATEWAY_MS = 3;
 
 /**
- * Ms after which the next control process is asked beside one that has not
- * answered yet.
+ * Delay before the next control process is tried while an earlier attempt is still
+ * unanswered.
  */
-const TRY_NEXT_MS = 200;
+const NEXT_ATTEMPT_MS = 200;
 
 /**
- * The same where one was named as the leader, or has taken the call and answers once
- * it knows a leader.
+ * The same delay if a pending attempt is likely to succeed: its control process was
+ * named as the leader, or has accepted the call and answers once it knows a leader.
  */
-const TRY_NEXT_LIKELY_MS = 500;
+const NEXT_ATTEMPT_LIKELY_MS = 500;
 
 /**
- * Ms for a control process to take a call at first. One that many gateways ask at
- * once takes long, so each time that it is given up it gets twice as much.
+ * Initial timeout for a control process to accept the call. With many gateways
+ * connecting at once it is slow to accept, so the timeout doubles per failed attempt.
  */
 const ACCEPT_TIMEOUT_MS = 3_000;
 
-/** Longest time, in ms, for a control process to take a call. */
+/** Upper bound of the accept timeout. */
 const MAX_ACCEPT_TIMEOUT_MS = 24_000;
 
 /**
- * Ms for a control process that took the call to welcome or redirect: longer than one
- * keeps a gateway that waits for a leader.
+ * Timeout for a control process that accepted the call to welcome or redirect. It is
+ * longer than a control process holds a gateway while there is no leader.
  */
 const WELCOME_TIMEOUT_MS = 15_000;
 
-/** Ms between two looks at the session. */
+/** Interval between checks of the session. */
 const CHECK_INTERVAL_MS = 100;
 
 type SessionStream = ClientDuplexStream<wire.FleetMessage, wire.FleetMessage>;
 
-/** A stream to a control process; a session once that has welcomed the gateway. */
+/** A stream to a control process; a session once the gateway is welcomed. */
 interface Session {
   readonly address: string;
   readonly client: wire.FleetClient;
   readonly stream: SessionStream;
-  /** Numbers of engines; each leader gives its own. */
+  /** Numbers that stand for engine ids in messages; each leader assigns its own. */
   readonly numbers: EngineNumbers;
-  /** When it was asked, in ms. */
+  /** When the stream was opened, in ms. */
   readonly askedMs: number;
-  /** Whether the control process has taken the call. */
+  /** Whether the control process has accepted the call. */
   isAccepted: boolean;
-  /** When it was heard last, in ms for which it could be. */
-  heardMs: number;
-  /** Whether the leader has told its engines, and so their numbers. */
-  knowsNumbers: boolean;
-  /** Loads that the leader was told, as text; empty before the first time. */
-  toldLoads: string;
-  /** Version of the configuration that the leader was told. */
-  toldVersion: number;
+  /** Time of the last message, in ms of the listening clock. */
+  lastReceivedMs: number;
+  /** Whether the leader has sent its engines, and thereby their numbers. */
+  hasNumbers: boolean;
+  /** Loads last sent to the leader, as JSON; empty before the first time. */
+  sentLoads: string;
+  /** Version of the configuration last sent to the leader. */
+  sentVersion: number;
 }
 
 /**
- * Opens the link; it looks for the leader until it is disposed of.
+ * Opens the link. It searches for the leader, and reconnects after each loss, until it
+ * is disposed of.
  *
- * @param options - Whom to ask, what to tell, who hears the answers.
+ * @param options - Addresses, sources of the reports and callbacks for messages.
  * @returns The link.
  * @throws Nothing.
  * @example
@@ -165,23 +166,23 @@
   });
   let controlAddresses: readonly string[] = [];
   let session: Session | undefined;
-  // Control processes that have not welcomed or redirected this gateway yet; each is
-  // asked once at a time.
-  const tries = new Set<Session>();
-  let triedMs = -Infinity;
-  const choice = createControlChoice({
+  // Streams to control processes that have not welcomed or redirected this gateway
+  // yet, at most one for each address.
+  const attempts = new Set<Session>();
+  let lastAttemptMs = -Infinity;
+  const selector = createControlSelector({
     listAddresses: () => [...controlAddresses, ...options.getSeedAddresses()],
     now,
     random: options.random,
   });
-  let beatDueMs = 0;
+  let heartbeatDueMs = 0;
   let searchDueMs = 0;
-  // Since when there is no leader, and how many addresses were tried since then.
-  let lostMs = now();
-  let triedCount = 0;
-  let gathering: ReturnType<typeof setTimeout> | undefined;
+  // Start of the search for a leader, and the number of attempts since.
+  let searchStartMs = now();
+  let attemptCount = 0;
+  let heartbeatTimer: ReturnType<typeof setTimeout> | undefined;
 
-  function open(address: string): void {
+  function connect(address: string): void {
     const client = new wire.FleetClient(
       address,
       createClientCredentials(),
@@ -195,28 +196,28 @@
       numbers: createEngineNumbers(),
       askedMs: now(),
       isAccepted: false,
-      heardMs: listening.now(),
-      knowsNumbers: false,
-      toldLoads: "",
-      toldVersion: options.getVersion(),
+      lastReceivedMs: listening.now(),
+      hasNumbers: false,
+      sentLoads: "",
+      sentVersion: options.getVersion(),
     };
-    tries.add(opened);
-    triedMs = now();
-    triedCount += 1;
+    attempts.add(opened);
+    lastAttemptMs = now();
+    attemptCount += 1;
     stream.on("metadata", () => {
       opened.isAccepted = true;
-      opened.heardMs = listening.now();
+      opened.lastReceivedMs = listening.now();
     });
     stream.on("data", (received: wire.FleetMessage) => {
-      if (session !== opened && !tries.has(opened)) return;
-      take(opened, parseLeaderMessage(received, opened.numbers));
+      if (session !== opened && !attempts.has(opened)) return;
+      handleMessage(opened, parseLeaderMessage(received, opened.numbers));
     });
     stream.on("error", () => close(opened, "broken"));
     stream.on("end", () => close(opened, "ended"));
     send(opened, {
       type: "hello",
       gateway: options.getGateway(),
-      version: opened.toldVersion,
+      version: opened.sentVersion,
       knowsGateways: options.getGatewayCount() > 0,
       sentMs: now(),
     });
@@ -228,14 +229,14 @@
 
   function close(closed: Session, reason: string): void {
     abandon(closed);
-    if (tries.delete(closed)) return noteFailure(closed, reason);
+    if (attempts.delete(closed)) return recordFailure(closed, reason);
     if (session !== closed) return;
     session = undefined;
-    lostMs = now();
-    triedCount = 0;
-    choice.noteLost(closed.address);
-    const spreadMs = SEARCH_SPREAD_MS * options.getGatewayCount();
-    searchDueMs = now() + spreadMs * options.random();
+    searchStartMs = now();
+    attemptCount = 0;
+    selector.recordLost(closed.address);
+    const jitterMs = SEARCH_JITTER_PER_GATEWAY_MS * options.getGatewayCount();
+    searchDueMs = now() + jitterMs * options.random();
     log("controlLost", { address: closed.address, reason });
   }
 
@@ -244,50 +245,53 @@
     client.close();
   }
 
-  function abandonTries(): void {
-    const abandoned = [...tries];
-    tries.clear();
+  function abandonAttempts(): void {
+    const abandoned = [...attempts];
+    attempts.clear();
     abandoned.forEach(abandon);
   }
 
-  function noteFailure({ address, askedMs }: Session, reason: string): void {
-    choice.noteFailure(address);
+  function recordFailure(
+    { address, askedMs }: Session,
+    reason: string,
+  ): void {
+    selector.recordFailure(address);
     const waitedMs = Math.round(now() - askedMs);
     log("controlNotReached", { address, reason, waitedMs });
   }
 
-  function begin(welcomed: Session): void {
-    tries.delete(welcomed);
-    abandonTries();
-    choice.reset();
+  function startSession(welcomed: Session): void {
+    attempts.delete(welcomed);
+    abandonAttempts();
+    selector.reset();
     session = welcomed;
-    beatDueMs = 0;
+    heartbeatDueMs = 0;
   }
 
-  function take(from: Session, message: LeaderMessage): void {
-    from.heardMs = listening.now();
+  function handleMessage(from: Session, message: LeaderMessage): void {
+    from.lastReceivedMs = listening.now();
     switch (message.type) {
       case "redirect":
         close(from, "redirected");
         if (message.address === "") return;
-        choice.noteNamed(message.address, { by: from.address });
-        // The next look follows it, whoever else was asked just now.
-        triedMs = -Infinity;
+        selector.recordLeader(message.address, { by: from.address });
+        // The next check connects there, however recent the last attempt is.
+        lastAttemptMs = -Infinity;
         return;
       case "welcome":
-        begin(from);
+        startSession(from);
         options.onWelcome(message);
         controlAddresses = message.controlAddresses;
         log("controlConnected", {
           address: from.address,
-          searchedMs: Math.round(now() - lostMs),
-          tried: triedCount,
+          searchedMs: Math.round(now() - searchStartMs),
+          tried: attemptCount,
         });
         return;
       case "beatAck":
         return options.onConfirmed(message.sentMs, message.version);
       case "engines":
-        from.knowsNumbers = true;
+        from.hasNumbers = true;
         return options.onMessage(message);
       default:
         return options.onMessage(message);
@@ -297,52 +301,55 @@
   function check(): void {
     listening.look();
     if (!session) return search();
-    if (listening.now() - session.heardMs > SILENCE_MS) {
+    if (listening.now() - session.lastReceivedMs > LEADER_TIMEOUT_MS) {
       return close(session, "silent");
     }
-    if (now() >= beatDueMs) beat();
+    if (now() >= heartbeatDueMs) sendHeartbeat();
   }
 
   function search(): void {
-    for (const tried of tries) {
-      const silentMs = listening.now() - tried.heardMs;
-      if (silentMs > getPatienceMs(tried)) close(tried, "silent");
+    for (const attempt of attempts) {
+      const unresponsiveMs = listening.now() - attempt.lastReceivedMs;
+      if (unresponsiveMs > getTimeoutMs(attempt)) close(attempt, "silent");
     }
     if (now() < searchDueMs) return;
-    if (now() - triedMs < getNextTryMs()) return;
-    const address = choice.findNext(listTried());
-    if (address !== undefined) open(address);
+    if (now() - lastAttemptMs < getNextAttemptMs()) return;
+    const address = selector.findNext(listPendingAddresses());
+    if (address !== undefined) connect(address);
   }
 
-  function getNextTryMs(): number {
-    if (tries.size === 0) return 0;
-    const isLikely = [...tries].some(({ address, isAccepted }) =>
-      isAccepted || choice.isNamed(address)
+  function getNextAttemptMs(): number {
+    if (attempts.size === 0) return 0;
+    const isLikely = [...attempts].some(({ address, isAccepted }) =>
+      isAccepted || selector.isNamedLeader(address)
     );
-    return isLikely ? TRY_NEXT_LIKELY_MS : TRY_NEXT_MS;
+    return isLikely ? NEXT_ATTEMPT_LIKELY_MS : NEXT_ATTEMPT_MS;
   }
 
-  function getPatienceMs({ address, isAccepted }: Session): number {
+  function getTimeoutMs({ address, isAccepted }: Session): number {
     if (isAccepted) return WELCOME_TIMEOUT_MS;
-    const patienceMs = ACCEPT_TIMEOUT_MS * 2 ** choice.countFailures(address);
-    return Math.min(MAX_ACCEPT_TIMEOUT_MS, patienceMs);
+    const acceptTimeoutMs = ACCEPT_TIMEOUT_MS *
+      2 ** selector.countFailures(address);
+    return Math.min(MAX_ACCEPT_TIMEOUT_MS, acceptTimeoutMs);
   }
 
-  function listTried(): ReadonlySet<string> {
-    return new Set([...tries].map(({ address }) => address));
+  function listPendingAddresses(): ReadonlySet<string> {
+    return new Set([...attempts].map(({ address }) => address));
   }
 
-  function beat(): void {
+  function sendHeartbeat(): void {
     if (!session) return;
-    beatDueMs = now() + BEAT_INTERVAL_MS;
-    // What the leader can't be told yet is news once it can.
+    heartbeatDueMs = now() + HEARTBEAT_INTERVAL_MS;
+    // Loads of engines that have no number yet are left out, and sent as a change
+    // once the leader has numbered them.
     const loads = session.numbers.keepNumbered(options.getLoads());
-    const told = JSON.stringify(loads);
-    const isNews = session.knowsNumbers && told !== session.toldLoads;
-    if (isNews) session.toldLoads = told;
+    const serializedLoads = JSON.stringify(loads);
+    const hasNewLoads = session.hasNumbers &&
+      serializedLoads !== session.sentLoads;
+    if (hasNewLoads) session.sentLoads = serializedLoads;
     const version = options.getVersion();
-    const isNewVersion = version !== session.toldVersion;
-    session.toldVersion = version;
+    const isNewVersion = version !== session.sentVersion;
+    session.sentVersion = version;
     const activity = options.takeActivity();
     const lost = options.takeLost();
     const slowEngines = options.takeSlow();
@@ -354,7 +361,7 @@
       sentMs: now(),
       isReady: options.getGateway().isReady,
       suspects: options.takeSuspects(),
-      ...(isNews ? { loads } : {}),
+      ...(hasNewLoads ? { loads } : {}),
       ...(isNewVersion ? { version } : {}),
       ...(lost.length > 0 ? { lost } : {}),
       ...(slowEngines.length > 0 ? { slowEngines } : {}),
@@ -366,39 +373,39 @@
     });
   }
 
-  function beatSoon(): void {
-    gathering ??= setTimeout(beatNow, GATHER_MS);
+  function scheduleHeartbeat(): void {
+    heartbeatTimer ??= setTimeout(sendHeartbeatNow, HEARTBEAT_BATCH_MS);
   }
 
-  function beatNow(): void {
-    clearTimeout(gathering);
-    gathering = undefined;
-    beat();
+  function sendHeartbeatNow(): void {
+    clearTimeout(heartbeatTimer);
+    heartbeatTimer = undefined;
+    sendHeartbeat();
   }
 
   const timer = setInterval(check, CHECK_INTERVAL_MS);
   check();
   return {
-    beat,
-    beatSoon,
+    beat: sendHeartbeat,
+    scheduleHeartbeat,
     requestGrants(counts, askedMs) {
       if (!session) return false;
-      // A limit of which the leader has not heard is none: the news goes first.
-      if (gathering !== undefined) beatNow();
+      // The leader grants nothing for limits unknown to it: pending reports go first.
+      if (heartbeatTimer !== undefined) sendHeartbeatNow();
       send(session, { type: "grantRequest", counts, askedMs });
       return true;
     },
-    renew() {
+    reconnect() {
       if (!session) return;
       const { address } = session;
       close(session, "renewed");
-      choice.noteNamed(address);
+      selector.recordLeader(address);
     },
     async [Symbol.asyncDispose]() {
       await Promise.resolve();
       clearInterval(timer);
-      clearTimeout(gathering);
-      abandonTries();
+      clearTimeout(heartbeatTimer);
+      abandonAttempts();
       if (session) close(session, "stopping");
     },
   };
--- a/src/gateway/create_gateway_list.ts
+++ b/src/gateway/create_gateway_list.ts
@@ -1,22 +1,23 @@
 /**
- * The gateways of the fleet, as the leader tells them.
+ * The gateways of the fleet, as reported by the leader.
  *
  * @module
  */
 
 import type { GatewayRecord, LeaderMessage } from "../fleet/index.ts";
 
-/** The gateways that are known. */
+/** The known gateways. */
 export interface GatewayList {
+  /** Applies a full list or a change. */
   take(message: LeaderMessage & { type: "gateways" }): void;
-  /** All that have a session with the leader. */
+  /** All gateways that have a session with the leader. */
   list(): readonly GatewayRecord[];
-  /** Those that take callers. */
+  /** Gateways that accept callers. */
   listReady(): readonly GatewayRecord[];
 }
 
 /**
- * Makes the list, empty.
+ * Creates an empty list.
  *
  * @returns The list.
  * @throws Nothing.
@@ -33,7 +34,7 @@
       gone.forEach((vm) => next.delete(vm));
       for (const gateway of gateways) next.set(gateway.vm, gateway);
       known = next;
-      // Asked for with each stream, told seldom.
+      // Computed here because it is read for each stream but seldom updated.
       all = [...known.values()];
       ready = all.filter(({ isReady }) => isReady);
     },
--- a/src/gateway/create_gateway_list_test.ts
+++ b/src/gateway/create_gateway_list_test.ts
@@ -9,16 +9,16 @@
   isReady,
 });
 
-const TOLD = { type: "gateways", isWhole: false, gone: [] } as const;
+const CHANGE = { type: "gateways", isWhole: false, gone: [] } as const;
 
-test("changes are applied to what is known, a whole list takes its place", () => {
+test("a change updates the known gateways, a whole list replaces them", () => {
   const list = createGatewayList();
   const listNames = () => list.list().map(({ vm }) => vm);
-  list.take({ ...TOLD, gateways: [makeGateway("g1"), makeGateway("g2")] });
-  list.take({ ...TOLD, gone: ["g1"], gateways: [makeGateway("g3", false)] });
+  list.take({ ...CHANGE, gateways: [makeGateway("g1"), makeGateway("g2")] });
+  list.take({ ...CHANGE, gone: ["g1"], gateways: [makeGateway("g3", false)] });
   assert.equal(listNames(), ["g2", "g3"]);
   assert.equal(list.listReady().map(({ vm }) => vm), ["g2"]);
-  list.take({ ...TOLD, isWhole: true, gateways: [makeGateway("g4")] });
+  list.take({ ...CHANGE, isWhole: true, gateways: [makeGateway("g4")] });
   assert.equal(listNames(), ["g4"]);
 });
 
--- a/src/gateway/create_held_config.ts
+++ b/src/gateway/create_held_config.ts
@@ -1,5 +1,5 @@
 /**
- * The configuration that is in force at a gateway.
+ * The active configuration of a gateway.
  *
  * @module
  */
@@ -19,12 +19,12 @@
   type RouteTable,
 } from "../routes/index.ts";
 
-/** What the configuration needs of its gateway. */
+/** Options of {@link createHeldConfig}. */
 export interface CreateHeldConfigOptions {
   readonly decodeConfig: DecodeConfig;
-  /** Called when another configuration is in force. */
+  /** Called after another configuration became active. */
   readonly onChange: (table: RouteTable) => void;
-  /** Called when a change doesn't fit: the whole configuration is wanted. */
+  /** Called if a change has another base: the whole configuration is needed. */
   readonly onUnfit: () => void;
   /** Monotonic time, in ms. */
   readonly now: () => number;
@@ -32,24 +32,24 @@
   readonly metrics: Pick<Metrics, "timing">;
 }
 
-/** The configuration that is in force. */
+/** The active configuration. */
 export interface HeldConfig {
-  /** Takes a whole configuration. */
+  /** Applies a whole configuration. */
   take(message: LeaderMessage & { type: "config" }): void;
-  /** Takes the change from an earlier configuration to a newer one. */
+  /** Applies the difference between an earlier configuration and a newer one. */
   takeChange(message: LeaderMessage & { type: "configChange" }): void;
-  /** Undefined before the first one. */
+  /** The route table; undefined before the first configuration. */
   getTable(): RouteTable | undefined;
-  /** Version in force; -1 without any. */
+  /** Active version; -1 if there is none. */
   getVersion(): number;
-  /** Version that a leader may tell changes of; -1 where the whole is wanted. */
+  /** Version that the leader may base changes on; -1 if it must send the whole. */
   getToldVersion(): number;
 }
 
 /**
- * Makes the holder, without a configuration.
+ * Creates the holder of the active configuration, without a configuration.
  *
- * @param options - How documents are decoded, and who hears of changes.
+ * @param options - The decoder of documents and the callbacks for changes.
  * @returns The holder.
  * @throws Nothing.
  * @example
@@ -57,23 +57,23 @@
  */
 export function createHeldConfig(options: CreateHeldConfigOptions): HeldConfig {
   const { now, log, metrics } = options;
-  let held:
+  let active:
     | { config: RouteConfig; digest: string; table: RouteTable }
     | undefined;
-  let isWholeWanted = false;
-  const getVersion = () => held?.table.version ?? -1;
+  let needsWhole = false;
+  const getVersion = () => active?.table.version ?? -1;
 
-  function put(
+  function activate(
     version: number,
     read: () => { config: RouteConfig; digest: string },
   ): void {
-    isWholeWanted = false;
-    // Whatever a late leader says: within one life nothing goes back.
+    needsWhole = false;
+    // An outdated leader must not bring back an older version in this process.
     if (version <= getVersion()) return;
     const startedMs = now();
     const { config, digest } = read();
     const table = createRouteTable(config);
-    held = { config, digest, table };
+    active = { config, digest, table };
     options.onChange(table);
     const tookMs = Math.round(now() - startedMs);
     metrics.timing("config.apply_ms", tookMs);
@@ -82,23 +82,26 @@
 
   return {
     take({ version, packed }) {
-      put(version, () => ({
+      activate(version, () => ({
         config: options.decodeConfig(unpackDocument(packed)),
         digest: getConfigDigest(packed),
       }));
     },
     takeChange({ version, digest, fromDigest, change }) {
       if (version <= getVersion()) return;
-      if (held?.digest !== fromDigest) {
+      if (active?.digest !== fromDigest) {
         log("configChangeUnfit", { version, held: getVersion() });
-        isWholeWanted = true;
+        needsWhole = true;
         return options.onUnfit();
       }
-      const from = held.config;
-      put(version, () => ({ config: applyConfigChange(from, change), digest }));
+      const from = active.config;
+      activate(
+        version,
+        () => ({ config: applyConfigChange(from, change), digest }),
+      );
     },
-    getTable: () => held?.table,
+    getTable: () => active?.table,
     getVersion,
-    getToldVersion: () => isWholeWanted ? -1 : getVersion(),
+    getToldVersion: () => needsWhole ? -1 : getVersion(),
   };
 }
--- a/src/gateway/create_held_config_test.ts
+++ b/src/gateway/create_held_config_test.ts
@@ -25,24 +25,24 @@
   ),
 });
 
-function startHeldConfig() {
+function startActiveConfig() {
   const versions: number[] = [];
-  let unfit = 0;
+  let mismatches = 0;
   const config = createHeldConfig({
     decodeConfig,
     onChange: ({ version }) => void versions.push(version),
     onUnfit: () => {
-      unfit += 1;
+      mismatches += 1;
     },
     now: () => 0,
     log: () => {},
     metrics: { timing: () => {} },
   });
-  return { config, versions, getUnfit: () => unfit };
+  return { config, versions, getMismatches: () => mismatches };
 }
 
-test("within one life no configuration goes back", () => {
-  const { config, versions } = startHeldConfig();
+test("an older configuration never replaces the active one", () => {
+  const { config, versions } = startActiveConfig();
   assert.is(config.getVersion(), -1);
   config.take(makeWhole(5));
   config.take(makeWhole(4));
@@ -53,8 +53,8 @@
   assert.is(config.getTable()?.version, 7);
 });
 
-test("a change that doesn't fit leaves what is held and asks for the whole", () => {
-  const { config, versions, getUnfit } = startHeldConfig();
+test("a change with another base is ignored, and the whole is requested", () => {
+  const { config, versions, getMismatches: getUnfit } = startActiveConfig();
   config.take(makeWhole(5));
   config.takeChange(makeChange(6, 8));
   assert.is(getUnfit(), 1);
--- a/src/gateway/create_request_desk.ts
+++ b/src/gateway/create_request_handler.ts
@@ -1,5 +1,5 @@
 /**
- * Takes callers' requests: reads them whole, decides, serves or refuses.
+ * Handles callers' requests: reads the body, decides, then serves or refuses.
  *
  * @module
  */
@@ -17,66 +17,72 @@
 import { serveStreamCall } from "./serve_stream_call.ts";
 import type { Call, ServingContext } from "./types.ts";
 
-/** What the desk needs of its gateway. */
-export interface CreateRequestDeskOptions {
+/** Options of {@link createRequestHandler}. */
+export interface CreateRequestHandlerOptions {
   readonly context: ServingContext;
   readonly lease: ConfigLease;
-  /** Whether the leader has told which upstreams there are. */
+  /** Whether the leader has sent the list of upstreams. */
   readonly knowsEngines: () => boolean;
-  /** Whether no new request is let in, since the process stops. */
-  readonly isLastCall: () => boolean;
+  /** Whether new requests are rejected because the process is stopping. */
+  readonly isDraining: () => boolean;
 }
 
-/** Takes callers' requests. */
-export interface RequestDesk {
-  take(received: ReceivedRequest): Promise<void>;
+/** Handles callers' requests. */
+export interface RequestHandler {
+  handle(received: ReceivedRequest): Promise<void>;
   /** Requests that are being read or served. */
   getInFlight(): number;
 }
 
-/** Body that is read where no configuration says how large it may be. */
-const DEFAULT_BODY_BYTES = 4 * 1024 * 1024;
+/** Maximum body size before there is a configuration. */
+const DEFAULT_MAX_BODY_BYTES = 4 * 1024 * 1024;
 
 /**
- * Ms for which a gateway that has just started lets requests wait for its
- * first configuration: about as long as a new leader takes to be found.
+ * Maximum time that requests wait for the first configuration after a start: about
+ * as long as it takes to find a new leader.
  */
-const START_WAIT_MS = 1_800;
+const START_MAX_WAIT_MS = 1_800;
 
-/** Ms between two looks whether the first configuration is there. */
+/** Interval between checks for the first configuration. */
 const START_POLL_MS = 10;
 
 /**
- * Refusal of a stream that a planned stop would cut; other gateways take it at
- * once. On the day that showed it, two and one streams were cut in two plays,
- * none since.
+ * Refusal of a stream that a planned stop would cut; other gateways can take it at
+ * once. Without it, two streams in one run and one in another were cut by a stop.
  */
-const LEAVING: Refusal = { status: 503, reason: "leaving", retryAfterMs: 20 };
-
-/** A request that was read whole. */
-type TakenRequest = Pick<Call, "request" | "response" | "body" | "startedMs">;
+const LEAVING_REFUSAL: Refusal = {
+  status: 503,
+  reason: "leaving",
+  retryAfterMs: 20,
+};
+
+/** A request whose body was read completely. */
+type BufferedRequest = Pick<
+  Call,
+  "request" | "response" | "body" | "startedMs"
+>;
 
 /**
- * Makes the desk.
+ * Creates the request handler.
  *
- * @param options - What requests are decided by and served with.
- * @returns The desk.
+ * @param options - The state by which requests are decided and served.
+ * @returns The request handler.
  * @throws Nothing.
  * @example
  * const server = createCallerServer((received) => void desk.take(received));
  */
-export function createRequestDesk(
-  options: CreateRequestDeskOptions,
-): RequestDesk {
+export function createRequestHandler(
+  options: CreateRequestHandlerOptions,
+): RequestHandler {
   const { context, lease } = options;
   const { codec, now, log, metrics, budget } = context;
   let inFlight = 0;
 
-  async function take(received: ReceivedRequest): Promise<void> {
+  async function handle(received: ReceivedRequest): Promise<void> {
     const startedMs = now();
     inFlight += 1;
     try {
-      await read(received, startedMs);
+      await readAndServe(received, startedMs);
     } catch (error) {
       log("internalError", { error });
       received.response.destroy();
@@ -85,12 +91,12 @@
     }
   }
 
-  async function read(
+  async function readAndServe(
     { message, response, target }: ReceivedRequest,
     startedMs: number,
   ): Promise<void> {
     const { limits } = context.getTable() ?? {};
-    const maxBytes = limits?.bodyBytes ?? DEFAULT_BODY_BYTES;
+    const maxBytes = limits?.bodyBytes ?? DEFAULT_MAX_BODY_BYTES;
     const body = await readBody(message, { maxBytes });
     if (body.type === "cut") return;
     const request = codec.readRequest({
@@ -106,14 +112,14 @@
     await serve({ request, response, body: body.body, startedMs });
   }
 
-  async function serve(taken: TakenRequest): Promise<void> {
+  async function serve(taken: BufferedRequest): Promise<void> {
     const { request, response, startedMs } = taken;
-    await untilStarted(taken);
+    await waitUntilStarted(taken);
     const decision = decideCall(request, {
       table: context.getTable(),
       knowsEngines: options.knowsEngines(),
       isTrusted: lease.isValid(),
-      isLastCall: options.isLastCall(),
+      isLastCall: options.isDraining(),
       random: context.random(),
     });
     if (decision.type === "refuse") {
@@ -123,8 +129,8 @@
     budget.noteRequest(service);
     const limitMs = Math.min(request.deadlineMs ?? Infinity, route.timeoutMs);
     const deadlineMs = startedMs + limitMs;
-    if (route.isStream && !mayEndInTime()) {
-      return refuse(request, response, LEAVING);
+    if (route.isStream && !canEndInGrace()) {
+      return refuse(request, response, LEAVING_REFUSAL);
     }
     const requestKey = getRequestKey({
       ...request,
@@ -138,20 +144,20 @@
     } else await servePlainCall(call, context);
   }
 
-  // A planned stop ends what still runs, and a stream that it cuts is lost to
-  // callers that can't go on: one as long as others lately has to fit in.
-  function mayEndInTime(): boolean {
+  // A planned stop ends streams that still run, and callers that can't resume lose
+  // them. So a stream starts only if the longest recent one would fit into the grace.
+  function canEndInGrace(): boolean {
     return !context.isLeaving() ||
       context.endRate.getLongestMs() < context.getGraceLeftMs();
   }
 
-  async function untilStarted(taken: TakenRequest): Promise<void> {
+  async function waitUntilStarted(taken: BufferedRequest): Promise<void> {
     const hasStarted = () =>
       context.getTable() !== undefined && options.knowsEngines() &&
       lease.wasEverValid();
     const { response, startedMs } = taken;
-    while (!hasStarted() && !options.isLastCall() && !response.destroyed) {
-      if (now() - startedMs > START_WAIT_MS) return;
+    while (!hasStarted() && !options.isDraining() && !response.destroyed) {
+      if (now() - startedMs > START_MAX_WAIT_MS) return;
       await sleep(START_POLL_MS);
     }
   }
@@ -172,5 +178,5 @@
     answerRefusal(response, { codec, request, refusal, closes });
   }
 
-  return { take, getInFlight: () => inFlight };
+  return { handle, getInFlight: () => inFlight };
 }
--- a/src/gateway/index.ts
+++ b/src/gateway/index.ts
@@ -1,6 +1,5 @@
 /**
- * Gateways: callers on one side, upstreams that register themselves on the
- * other.
+ * Gateways: they forward callers' requests to registered upstreams.
  *
  * @module
  */
--- a/src/gateway/protocol.ts
+++ b/src/gateway/protocol.ts
@@ -1,6 +1,6 @@
 /**
- * What a gateway needs to know of the protocol between callers and upstreams.
- * The codec that reads and writes it is given to the gateway.
+ * The parts of the protocol between callers and upstreams that a gateway uses.
+ * The codec that parses and formats it is passed in.
  *
  * @module
  */
@@ -10,70 +10,70 @@
 import type { RefusalReason } from "../metrics/index.ts";
 import type { PathPart } from "../layers/index.ts";
 
-/** What a caller's request header says. */
+/** A caller's request header, parsed. */
 export interface CallerRequest {
-  /** Names this try; empty where the caller gave none. */
+  /** Identifies this attempt; empty if the caller sent none. */
   readonly requestId: string;
   readonly host: string;
   /** Path without the query. */
   readonly path: string;
-  /** Path and query as they came. */
+  /** Path and query, unaltered. */
   readonly target: string;
   readonly method: string;
   readonly key: string | undefined;
-  /** Time, in ms, that the caller will wait; undefined where not said. */
+  /** Time, in ms, that the caller will wait; undefined if it sent no deadline. */
   readonly deadlineMs: number | undefined;
-  /** Event after which a stream is to go on. */
+  /** Id of the last event received; a stream resumes after it. */
   readonly lastEventId: string | undefined;
   readonly promptTokens: number;
-  /** Tokens of the answer at most. */
+  /** Maximum number of tokens in the answer. */
   readonly answerTokens: number;
-  /** Header fields as they came: names and values in turn. */
+  /** Unaltered header fields, as alternating names and values. */
   readonly rawHeaders: readonly string[];
 }
 
-/** What a gateway tells an upstream besides what the caller said. */
+/** What a gateway adds to a caller's request before it sends it to an upstream. */
 export interface UpstreamEnvelope {
   readonly deadlineMs: number;
-  /** Run of the upstream that alone may take the request. */
+  /** The only incarnation of the upstream that may run the request. */
   readonly engineId: string;
   readonly account: string | undefined;
   readonly lastEventId: string | undefined;
-  /** Parts of a layered model, with addresses; none where one engine has all. */
+  /** Layer ranges with addresses; empty if one engine has all layers. */
   readonly path: readonly AddressedPart[];
 }
 
-/** A part of a path and where its engine is reached. */
+/** A part of a path, with the address of its engine. */
 export interface AddressedPart extends PathPart {
   readonly address: string;
 }
 
-/** What an upstream's answer header says. */
+/** An upstream's response header, parsed. */
 export interface UpstreamHead extends EngineNotice {
   readonly status: number;
-  /** Names and values in turn, to be passed on. */
+  /** Fields to forward to the caller, as alternating names and values. */
   readonly headers: readonly string[];
-  /** The request that it answers; empty where it says none. */
+  /** Id of the request that it answers; empty if the upstream sent none. */
   readonly requestId: string;
   /** Whether the upstream signed the answer as its own. */
   readonly isSigned: boolean;
-  /** Whether it says that it did not run the request. */
+  /** Whether the upstream reports that it did not run the request. */
   readonly saysNotRun: boolean;
-  /** Address of the upstream at fault, where another one is. */
+  /** Address of the upstream at fault, if that is another one. */
   readonly faultAddress: string | undefined;
-  /** Running and waiting requests over slots, where it tells them. */
+  /** Running and waiting requests divided by slots, if reported. */
   readonly load: number | undefined;
 }
 
-/** A final answer of the gateway's own. */
+/** A final response that the gateway itself gives instead of an upstream. */
 export interface Refusal {
   readonly status: number;
   readonly reason: RefusalReason;
-  /** Time, in ms, after which the caller may come again. */
+  /** Time, in ms, after which the caller may retry. */
   readonly retryAfterMs?: number;
 }
 
-/** Reads and writes the protocol between callers and upstreams. */
+/** Parses and formats the protocol between callers and upstreams. */
 export interface CallerCodec {
   readRequest(
     request: {
@@ -97,26 +97,26 @@
   ): Record<string, string>;
 }
 
-/** Whether an engine answers, and how slow it says it is. */
+/** Whether an engine responds, and how slow it reports to be. */
 export type EnginePresence =
-  /** `pace` is a factor on its usual times; 1 where it is not slow. */
+  /** `pace` multiplies its usual processing times; 1 if it is not slow. */
   | { readonly state: "present"; readonly pace: number }
-  /** It refuses connections. */
+  /** The engine refuses connections. */
   | { readonly state: "absent" }
   | { readonly state: "silent" };
 
-/** Asks engines of a layered model and gives them orders. */
+/** Queries and controls the engines of a layered model. */
 export interface EngineControl {
   checkPresence(
     address: string,
     options: EngineCallOptions,
   ): Promise<EnginePresence>;
-  /** Requests that stand still at an engine, and whom they wait for. */
+  /** Lists the requests stalled at an engine, with the engine each waits for. */
   readStalled(
     address: string,
     options: EngineCallOptions,
   ): Promise<readonly StalledRequest[]>;
-  /** Moves a running request to other parts; the first one stays. */
+  /** Moves a running request to other engines; the first one on the path stays. */
   changePath(
     address: string,
     options: EngineCallOptions & {
@@ -126,7 +126,7 @@
   ): Promise<boolean>;
 }
 
-/** A request that stands still. */
+/** A stalled request. */
 export interface StalledRequest {
   readonly requestId: string;
   /** Address of the engine that it waits for. */
--- a/src/gateway/start_gateway.ts
+++ b/src/gateway/start_gateway.ts
@@ -1,6 +1,6 @@
 /**
- * The gateway put together: callers on one side, upstreams that register
- * themselves on the other, the leader's news between them.
+ * Wires up a gateway: the server for callers, the clients for registered upstreams,
+ * and the session with the leader, which keeps its state up to date.
  *
  * @module
  */
@@ -32,7 +32,7 @@
 import { createQuarantine } from "./create_quarantine.ts";
 import { createRateLimits } from "./create_rate_limits.ts";
 import { createRepeatBudget } from "./create_repeat_budget.ts";
-import { createRequestDesk } from "./create_request_desk.ts";
+import { createRequestHandler } from "./create_request_handler.ts";
 import { createBackOffThrottle } from "./create_back_off_throttle.ts";
 import { createReturnSchedule } from "./create_return_schedule.ts";
 import { createRoomQueues } from "./create_room_queue.ts";
@@ -49,17 +49,17 @@
 export interface GatewaySettings {
   readonly vm: string;
   readonly place: string;
-  /** Where callers connect: host and port. */
+  /** Address on which callers connect. */
   readonly listen: { readonly host: string; readonly port: number };
-  /** Ms from an acceptance until a key that it took away must be refused. */
+  /** Ms from the acceptance of a change until a key that it removes must be refused. */
   readonly revokeMs: number;
-  /** Bound on the repeats of all gateways together. */
+  /** Limits of the retry budget that all gateways share. */
   readonly repeats: {
     readonly ratio: number;
     readonly extra: number;
     readonly windowMs: number;
   };
-  /** Ms from the signal to the end of a planned stop, at most. */
+  /** Maximum ms from the signal to the end of a planned stop. */
   readonly graceMs: number;
 }
 
@@ -68,11 +68,11 @@
   readonly codec: CallerCodec;
   readonly engineControl: EngineControl;
   readonly decodeConfig: DecodeConfig;
-  /** Control processes to begin with; read anew for each search. */
+  /** Initial control process addresses; read again for each search. */
   readonly getSeedAddresses: () => readonly string[];
   /**
-   * A listener that was opened before the program was loaded; by default the
-   * gateway opens one itself.
+   * A listener opened before the program was loaded; by default the gateway opens
+   * its own.
    */
   readonly earlyListener?: EarlyListener;
   readonly log: Logger;
@@ -81,36 +81,36 @@
 
 /** A running gateway. */
 export interface Gateway {
-  /** Whether callers may be sent here. */
+  /** Whether callers may be directed to this gateway. */
   isReady(): boolean;
-  /** Addresses that a caller in this place is to use. */
+  /** Gateway addresses for a caller in `place`. */
   listAddresses(place: string): readonly string[];
   getVersion(): number;
   stop(): Promise<void>;
 }
 
-/** Ms by which idle callers are kept longer than the configuration says. */
+/** Ms by which idle connections outlive the configured timeout. */
 const IDLE_MARGIN_MS = 1_000;
 
-/** Gateways among which what all share is divided while none are known. */
-const UNKNOWN_GATEWAYS = 20;
+/** Number of gateways assumed to share limits and budgets while none are known. */
+const DEFAULT_GATEWAY_COUNT = 20;
 
-/** Ms between two beats that only ask for repeats. */
-const ASK_INTERVAL_MS = 60;
+/** Minimum interval between heartbeats sent only to request retries. */
+const LOAN_REQUEST_INTERVAL_MS = 60;
 
-/** Ms in which callers and the other gateways hear of a leave. */
-const LEAVE_NEWS_MS = 2_500;
+/** Time within which callers and other gateways learn that this one is leaving. */
+const LEAVE_PROPAGATION_MS = 2_500;
 
-/** Ms kept at the end of the grace for the process to end. */
-const END_MARGIN_MS = 400;
+/** Part of the grace period reserved for the exit of the process. */
+const EXIT_MARGIN_MS = 400;
 
 /**
  * Starts a gateway.
  *
  * @param settings - Its settings.
- * @param options - The protocol's codec, the seeds, logs and metrics.
+ * @param options - The protocol codec, seed addresses, logs and metrics.
  * @returns The running gateway.
- * @throws {Error} When its address is taken.
+ * @throws {Error} When its address is already in use.
  * @example
  * const gateway = await startGateway(settings, options);
  */
@@ -119,17 +119,17 @@
   options: StartGatewayOptions,
 ): Promise<Gateway> {
   const { codec, log, metrics } = options;
-  // Leases, loans, trials and deadlines end also while the machine is suspended.
-  // Repeats are bounded over a window of the steady clock: it is never too short.
+  // Leases, loans, trials and deadlines also expire while the machine is suspended.
+  // The retry budget's window uses the steady clock, so that it is never too short.
   const steadyNow = () => performance.now();
   const { now } = createElapsedClock({ steadyNow, dayNow: Date.now });
   const { vm, place, listen } = settings;
   const address = `${listen.host}:${listen.port}`;
   let isLeaving = false;
   let graceEndMs = Infinity;
-  let isLastCall = false;
+  let isDraining = false;
   let knowsEngines = false;
-  let askedMs = -Infinity;
+  let lastLoanRequestMs = -Infinity;
 
   const lease = createConfigLease({ revokeMs: settings.revokeMs, now });
   const notices = createEngineNotices({
@@ -140,17 +140,18 @@
   });
   const gateways = createGatewayList();
   const { listReady } = gateways;
-  // A gateway that has just started knows none and takes a small share.
-  const getSharerCount = () => gateways.list().length || UNKNOWN_GATEWAYS;
+  // A gateway that has just started knows no others and uses a small share.
+  const getSharingGatewayCount = () =>
+    gateways.list().length || DEFAULT_GATEWAY_COUNT;
   const rateLimits = createRateLimits({
     requestGrants: (counts, askedMs) => link.requestGrants(counts, askedMs),
-    onNews: () => link.beatSoon(),
-    getGatewayCount: getSharerCount,
+    onNews: () => link.scheduleHeartbeat(),
+    getGatewayCount: getSharingGatewayCount,
     now,
     log,
     metrics,
   });
-  const exchanger = createExchanger(codec, { onNotice: takeNotice });
+  const exchanger = createExchanger(codec, { onNotice: handleNotice });
   const engines = createEngineTable({
     now,
     log,
@@ -162,13 +163,14 @@
     onChange({ limits }) {
       server.server.keepAliveTimeout = limits.idleTimeoutMs + IDLE_MARGIN_MS;
     },
-    // The next session says that it has none, and is told the whole one.
-    onUnfit: () => link.renew(),
+    // The hello of the next session reports no version, so the leader sends the whole
+    // configuration.
+    onUnfit: () => link.reconnect(),
     now,
     log,
     metrics,
   });
-  const losses = createLossNews({ vm, place, listReady });
+  const lostEngineReports = createLossNews({ vm, place, listReady });
   const pauses = createPauseWatch();
   const endRate = createEndRate({ now });
   const getGatewayCount = () => Math.max(1, listReady().length);
@@ -179,13 +181,13 @@
   });
   const budget = createRepeatBudget({
     ...settings.repeats,
-    getGatewayCount: getSharerCount,
-    onShort: askForRepeats,
+    getGatewayCount: getSharingGatewayCount,
+    onShort: requestRetryLoan,
     now: steadyNow,
     elapsedNow: now,
   });
   const quarantine = createQuarantine({
-    onNews: () => link.beatSoon(),
+    onNews: () => link.scheduleHeartbeat(),
     now,
   });
   const context: ServingContext = {
@@ -195,16 +197,16 @@
     pauses,
     runWatch: createRunWatch({
       engineControl: options.engineControl,
-      onLost: noteLost,
-      getAskerRank: losses.getAskerRank,
+      onLost: reportFailedEngine,
+      getAskerRank: lostEngineReports.getAskerRank,
       onPace: engines.notePace,
-      onNotice: takeNotice,
+      onNotice: handleNotice,
       mayAsk: notices.takeQuestion,
       now,
     }),
     stallWatch: createStallWatch({
       engineControl: options.engineControl,
-      onNotice: takeNotice,
+      onNotice: handleNotice,
       mayAsk: notices.takeQuestion,
       now,
     }),
@@ -249,29 +251,29 @@
     !isLeaving && config.getTable() !== undefined && knowsEngines &&
     lease.isValid();
 
-  function noteLost(engineId: string, reason: string): void {
+  function reportFailedEngine(engineId: string, reason: string): void {
     engines.suspect(engineId, reason);
-    losses.note(engineId);
-    link.beatSoon();
+    lostEngineReports.note(engineId);
+    link.scheduleHeartbeat();
   }
 
-  // The leader is told at once of a leave that it may not know.
-  function takeNotice(engineId: string, notice: EngineNotice): void {
-    const isNews = notice.isLeaving && !engines.isLeaving(engineId);
+  // A leave that the leader may not know is reported to it at once.
+  function handleNotice(engineId: string, notice: EngineNotice): void {
+    const isNewLeave = notice.isLeaving && !engines.isLeaving(engineId);
     notices.take(engineId, notice);
     const { limitPerS } = notice;
     if (limitPerS !== undefined) rateLimits.takeAnswer(engineId, { limitPerS });
-    if (isNews) link.beatSoon();
+    if (isNewLeave) link.scheduleHeartbeat();
   }
 
-  // A stream that is cut waits for what is lent: the next beat is too late.
-  function askForRepeats(): void {
-    if (now() - askedMs < ASK_INTERVAL_MS) return;
-    askedMs = now();
+  // A broken stream waits for lent retries; the next regular heartbeat is too late.
+  function requestRetryLoan(): void {
+    if (now() - lastLoanRequestMs < LOAN_REQUEST_INTERVAL_MS) return;
+    lastLoanRequestMs = now();
     link.beat();
   }
 
-  function takeMessage(message: LeaderMessage): void {
+  function handleMessage(message: LeaderMessage): void {
     switch (message.type) {
       case "config":
         return config.take(message);
@@ -307,7 +309,7 @@
     getGatewayCount: () => gateways.list().length,
     getVersion: config.getToldVersion,
     takeSuspects: engines.takeSuspects,
-    takeLost: losses.take,
+    takeLost: lostEngineReports.take,
     takeSlow: pauses.takeSlow,
     listLeaves: engines.listUntoldLeaves,
     getLoads: engines.getLoads,
@@ -319,7 +321,7 @@
       quarantine.takeWhole(cases);
       rateLimits.takeWhole(limits);
     },
-    onMessage: takeMessage,
+    onMessage: handleMessage,
     onConfirmed: (sentMs, version) =>
       lease.confirm({ sentMs, version, held: config.getVersion() }),
     now,
@@ -327,13 +329,15 @@
     log,
   });
 
-  const desk = createRequestDesk({
+  const requestHandler = createRequestHandler({
     context,
     lease,
     knowsEngines: () => knowsEngines,
-    isLastCall: () => isLastCall,
+    isDraining: () => isDraining,
   });
-  const server = createCallerServer((received) => void desk.take(received));
+  const server = createCallerServer((received) =>
+    void requestHandler.handle(received)
+  );
 
   const { earlyListener } = options;
   await listenForCallers(server, { ...listen, earlyListener });
@@ -341,7 +345,7 @@
 
   const gauges = startGauges({
     metrics,
-    desk,
+    requestHandler,
     config,
     lease,
     engines,
@@ -351,24 +355,24 @@
   });
 
   async function stop(): Promise<void> {
-    log("stopping", { inFlight: desk.getInFlight() });
+    log("stopping", { inFlight: requestHandler.getInFlight() });
     gauges[Symbol.dispose]();
     const startedMs = now();
-    graceEndMs = startedMs + settings.graceMs - END_MARGIN_MS;
+    graceEndMs = startedMs + settings.graceMs - EXIT_MARGIN_MS;
     const leftMs = context.getGraceLeftMs;
     isLeaving = true;
     link.beat();
-    // Callers go on with connections that they have, and with addresses that
-    // they were told: both are served for a while.
-    const lastCallMs = getLastCallMs(settings.graceMs);
-    while (now() - startedMs < lastCallMs) {
+    // Callers keep using open connections and the addresses that they have resolved,
+    // so requests are admitted for a while longer.
+    const drainAdmissionMs = getLastCallMs(settings.graceMs);
+    while (now() - startedMs < drainAdmissionMs) {
       await sleep(20);
-      const isToldOf = now() - startedMs > LEAVE_NEWS_MS;
-      if (isToldOf && desk.getInFlight() === 0) break;
+      const isPropagated = now() - startedMs > LEAVE_PROPAGATION_MS;
+      if (isPropagated && requestHandler.getInFlight() === 0) break;
     }
-    isLastCall = true;
-    while (desk.getInFlight() > 0 && leftMs() > 0) await sleep(20);
-    const inFlight = desk.getInFlight();
+    isDraining = true;
+    while (requestHandler.getInFlight() > 0 && leftMs() > 0) await sleep(20);
+    const inFlight = requestHandler.getInFlight();
     if (inFlight > 0) log("drainTimedOut", { inFlight });
     await link[Symbol.asyncDispose]();
     server.server.closeAllConnections();
--- a/src/gateway/start_gauges.ts
+++ b/src/gateway/start_gauges.ts
@@ -1,5 +1,5 @@
 /**
- * What a gateway's gauges tell.
+ * Gauges of a gateway.
  *
  * @module
  */
@@ -8,27 +8,27 @@
 import type { ConfigLease } from "./create_config_lease.ts";
 import type { EngineTable } from "./create_engine_table.ts";
 import type { HeldConfig } from "./create_held_config.ts";
-import type { RequestDesk } from "./create_request_desk.ts";
+import type { RequestHandler } from "./create_request_handler.ts";
 import type { ServingContext } from "./types.ts";
 
-/** What the gauges look at. */
+/** Sources of the gauges. */
 export interface StartGaugesOptions
   extends Pick<ServingContext, "notices" | "rateLimits" | "quarantine"> {
   readonly metrics: Pick<Metrics, "gauge">;
-  readonly desk: Pick<RequestDesk, "getInFlight">;
+  readonly requestHandler: Pick<RequestHandler, "getInFlight">;
   readonly config: Pick<HeldConfig, "getVersion">;
   readonly lease: Pick<ConfigLease, "getLeftMs">;
   readonly engines: Pick<EngineTable, "get" | "getSize">;
 }
 
-/** Ms between two looks. */
-const INTERVAL_MS = 2_000;
+/** Interval between updates. */
+const GAUGE_INTERVAL_MS = 2_000;
 
 /**
- * Sets the gauges until what it returns is disposed of.
+ * Updates the gauges at an interval until the returned object is disposed of.
  *
- * @param options - What the gauges look at.
- * @returns What ends it.
+ * @param options - The sources of the gauges.
+ * @returns A disposable that stops the updates.
  * @throws Nothing.
  * @example
  * using gauges = startGauges(options);
@@ -37,7 +37,7 @@
   const { metrics, engines, notices, rateLimits, quarantine } = options;
 
   function setGauges(): void {
-    metrics.gauge("requests.in_flight", options.desk.getInFlight());
+    metrics.gauge("requests.in_flight", options.requestHandler.getInFlight());
     metrics.gauge("config.revision", options.config.getVersion());
     metrics.gauge("config.lease_ms", Math.max(0, options.lease.getLeftMs()));
     metrics.gauge("engines.known", engines.getSize());
@@ -49,6 +49,6 @@
     metrics.gauge("quarantine.held", held);
   }
 
-  const timer = setInterval(setGauges, INTERVAL_MS);
+  const timer = setInterval(setGauges, GAUGE_INTERVAL_MS);
   return { [Symbol.dispose]: () => clearInterval(timer) };
 }
--- a/src/gateway/types.ts
+++ b/src/gateway/types.ts
@@ -1,5 +1,5 @@
 /**
- * What the parts of a gateway share.
+ * Types shared by the modules of a gateway.
  *
  * @module
  */
@@ -28,23 +28,23 @@
 import type { UsualTimes } from "./create_usual_times.ts";
 import type { CallerCodec, CallerRequest, EngineControl } from "./protocol.ts";
 
-/** A request that is let in, with all that was decided about it. */
+/** An admitted request, with the decisions made about it. */
 export interface Call {
   readonly request: CallerRequest;
   readonly body: Buffer | null;
   readonly response: ServerResponse;
   readonly route: Route;
   readonly account: Account | undefined;
-  /** Service that the route's weights gave it. */
+  /** Service chosen by the route's weights. */
   readonly service: string;
-  /** The same for all tries of one request, see {@link getRequestKey}. */
+  /** The same for all attempts of one request, see {@link getRequestKey}. */
   readonly requestKey: string;
   readonly startedMs: number;
-  /** Time, in ms, at which it has to have ended. */
+  /** Time, in ms, by which it has to have ended. */
   readonly deadlineMs: number;
 }
 
-/** What serving a call needs. */
+/** Everything that is needed to serve a call. */
 export interface ServingContext {
   readonly place: string;
   readonly codec: CallerCodec;
@@ -53,13 +53,13 @@
   readonly runWatch: RunWatch;
   readonly stallWatch: StallWatch;
   readonly engines: EngineTable;
-  /** What upstreams said of themselves in answers to this gateway. */
+  /** State that upstreams reported in responses to this gateway. */
   readonly notices: EngineNotices;
-  /** Rate limits that upstreams named. */
+  /** Rate limits that upstreams reported. */
   readonly rateLimits: RateLimits;
-  /** Lets in what upstreams can bear while many are backed off. */
+  /** Limits admission to the capacity left while many upstreams are backed off. */
   readonly throttle: BackOffThrottle;
-  /** How long answers usually take. */
+  /** Typical response times. */
   readonly usualTimes: UsualTimes;
   readonly exchanger: Exchanger;
   readonly endCheck: EndCheck;
@@ -69,17 +69,17 @@
   readonly endRate: EndRate;
   readonly rates: FleetRates;
   readonly returns: ReturnSchedule;
-  /** Turns of callers that found all upstreams at their rate limits. */
+  /** Retry times of callers that found all upstreams at their rate limits. */
   readonly limitReturns: ReturnSchedule;
-  /** New streams of a service that wait for room. */
+  /** Queue of new streams of a service that wait for capacity. */
   readonly getRoomQueue: (service: string) => RoomQueue;
   readonly getTable: () => RouteTable | undefined;
-  /** Gateways that take callers, this one included. */
+  /** Number of ready gateways, including this one. */
   readonly getGatewayCount: () => number;
-  /** Data centres of the gateways that take callers, one for each of them. */
+  /** Data centre of each ready gateway; one entry per gateway. */
   readonly listGatewayPlaces: () => readonly string[];
   readonly isLeaving: () => boolean;
-  /** Time, in ms, that requests have before a planned stop ends them. */
+  /** Time, in ms, until a planned stop ends requests in flight. */
   readonly getGraceLeftMs: () => number;
   /** Monotonic time, in ms. */
   readonly now: () => number;
