--- a/src/clocks/create_listening_clock.ts
+++ b/src/clocks/create_listening_clock.ts
@@ -28,19 +28,19 @@
 export interface CreateListeningClockOptions {
   /** Monotonic time, in ms. */
   readonly now: () => number;
-  /** Interval between ticks; a gap counts for at most 1.5 intervals. */
+  /** Interval between calls of `look`; a gap counts for at most 1.5 intervals. */
   readonly lookIntervalMs: number;
-  /** Whether it counts before the first tick; true by default. */
+  /** Whether it counts before the first call of `look`; true by default. */
   readonly isListening?: boolean;
 }
 
-/** Maximum intervals counted between two ticks; above 1 as timers fire a bit late. */
+/** Maximum intervals counted per call; above 1 because timers fire a bit late. */
 const MAX_COUNTED_INTERVALS = 1.5;
 
 /**
  * Creates the clock, at 0.
  *
- * @param options - The steady clock, and the interval of the ticks.
+ * @param options - The steady clock, and the interval between calls of `look`.
  * @returns The clock.
  * @throws Nothing.
  * @example
@@ -54,18 +54,18 @@
   const maxStepMs = lookIntervalMs * MAX_COUNTED_INTERVALS;
   let { isListening = true } = options;
   let countedMs = 0;
-  let lastTickMs = now();
+  let lastLookMs = now();
 
   function read(): number {
     if (!isListening) return countedMs;
-    return countedMs + Math.min(now() - lastTickMs, maxStepMs);
+    return countedMs + Math.min(now() - lastLookMs, maxStepMs);
   }
 
   return {
     now: read,
     look({ isListening: nextIsListening = true } = {}) {
       countedMs = read();
-      lastTickMs = now();
+      lastLookMs = now();
       isListening = nextIsListening;
     },
   };
--- a/src/clocks/create_listening_clock_test.ts
+++ b/src/clocks/create_listening_clock_test.ts
@@ -2,28 +2,28 @@
 import * as assert from "uvu/assert";
 import { createListeningClock } from "./create_listening_clock.ts";
 
-const TICK_INTERVAL_MS = 100;
+const LOOK_INTERVAL_MS = 100;
 
 function startClock() {
   let nowMs = 5_000;
   const clock = createListeningClock({
     now: () => nowMs,
-    lookIntervalMs: TICK_INTERVAL_MS,
+    lookIntervalMs: LOOK_INTERVAL_MS,
   });
   return { clock, pass: (ms: number) => void (nowMs += ms) };
 }
 
-test("with regular ticks it follows the steady clock", () => {
+test("with regular looks it follows the steady clock", () => {
   const { clock, pass } = startClock();
   for (let at = 0; at < 50; at++) {
-    pass(TICK_INTERVAL_MS);
+    pass(LOOK_INTERVAL_MS);
     clock.look();
   }
   pass(40);
   assert.is(clock.now(), 5_040);
 });
 
-test("a blocked event loop counts as one late tick", () => {
+test("a blocked event loop counts as one late look", () => {
   const { clock, pass } = startClock();
   pass(4_000);
   assert.is(clock.now(), 150);
