--- a/src/clocks/start_loop_watch.ts
+++ b/src/clocks/start_loop_watch.ts
@@ -31,7 +31,7 @@
  * @returns A disposable that stops the monitor.
  * @throws Nothing.
  * @example
- * using watch = startLoopWatch({ onDelay, now: () => performance.now() });
+ * using monitor = startEventLoopMonitor({ onDelay, now: () => performance.now() });
  */
 export function startLoopWatch(options: StartLoopWatchOptions): Disposable {
   const { onDelay, now } = options;
--- a/src/collections/forget_oldest.ts
+++ b/src/collections/forget_oldest.ts
@@ -19,7 +19,7 @@
  * @returns Nothing.
  * @throws Nothing.
  * @example
- * forgetOldest(traces, MAX_TRACES);
+ * evictOldest(traces, MAX_TRACES);
  */
 export function forgetOldest<Key>(
   collection: OrderedKeys<Key>,
--- a/src/gateway/create_caller_server.ts
+++ b/src/gateway/create_caller_server.ts
@@ -36,7 +36,7 @@
  * @returns The server, not yet listening.
  * @throws Nothing.
  * @example
- * const server = createCallerServer(take);
+ * const server = createCallerServer(handleRequest);
  */
 export function createCallerServer(
   onRequest: (received: ReceivedRequest) => void,
--- a/src/gateway/create_control_selector.ts
+++ b/src/gateway/create_control_selector.ts
@@ -8,8 +8,8 @@
 
 /** Selects control processes for connection attempts. */
 export interface ControlSelector {
-  /** Next address to try besides those in `asked`; undefined if none is due. */
-  findNext(asked: ReadonlySet<string>): string | undefined;
+  /** Next address to try besides those in `pending`; undefined if none is due. */
+  findNext(pending: ReadonlySet<string>): string | undefined;
   /** Records that a control process did not accept this gateway. */
   recordFailure(address: string): void;
   /** Records the leader's address, and who named it if that is another one. */
@@ -59,7 +59,7 @@
  * @returns The selector.
  * @throws Nothing.
  * @example
- * const address = choice.findNext(new Set());
+ * const address = selector.findNext(new Set());
  */
 export function createControlSelector(
   options: CreateControlSelectorOptions,
@@ -75,11 +75,11 @@
   }
 
   return {
-    findNext(asked) {
+    findNext(pending) {
       const known = new Set(options.listAddresses());
       if (namedLeaderAddress !== "") known.add(namedLeaderAddress);
       const due = [...known].filter((address) =>
-        !asked.has(address) && now() >= getFailures(address).retryAtMs
+        !pending.has(address) && now() >= getFailures(address).retryAtMs
       );
       return due.sort((a, b) => getPriority(a) - getPriority(b))[0];
     },
--- a/src/gateway/create_control_selector_test.ts
+++ b/src/gateway/create_control_selector_test.ts
@@ -6,62 +6,62 @@
 
 function startSelector(addresses: readonly string[]) {
   const state = { nowMs: 0 };
-  const choice = createControlSelector({
+  const selector = createControlSelector({
     listAddresses: () => addresses,
     now: () => state.nowMs,
     random: () => 1,
   });
-  return { choice, state };
+  return { selector, state };
 }
 
 test("addresses with a pending attempt are skipped", () => {
-  const { choice } = startSelector(["a", "b"]);
-  assert.is(choice.findNext(NONE), "a");
-  assert.is(choice.findNext(new Set(["a"])), "b");
-  assert.is(choice.findNext(new Set(["a", "b"])), undefined);
+  const { selector } = startSelector(["a", "b"]);
+  assert.is(selector.findNext(NONE), "a");
+  assert.is(selector.findNext(new Set(["a"])), "b");
+  assert.is(selector.findNext(new Set(["a", "b"])), undefined);
 });
 
 test("a failed address waits longer each time, and comes after the others", () => {
-  const { choice, state } = startSelector(["a", "b"]);
-  choice.recordFailure("a");
-  assert.is(choice.findNext(NONE), "b");
-  assert.is(choice.findNext(new Set(["b"])), undefined);
+  const { selector, state } = startSelector(["a", "b"]);
+  selector.recordFailure("a");
+  assert.is(selector.findNext(NONE), "b");
+  assert.is(selector.findNext(new Set(["b"])), undefined);
   state.nowMs = 100;
-  assert.is(choice.findNext(new Set(["b"])), "a");
-  choice.recordFailure("a");
+  assert.is(selector.findNext(new Set(["b"])), "a");
+  selector.recordFailure("a");
   state.nowMs = 299;
-  assert.is(choice.findNext(new Set(["b"])), undefined);
+  assert.is(selector.findNext(new Set(["b"])), undefined);
   state.nowMs = 300;
-  assert.is(choice.findNext(NONE), "b");
-  assert.is(choice.findNext(new Set(["b"])), "a");
+  assert.is(selector.findNext(NONE), "b");
+  assert.is(selector.findNext(new Set(["b"])), "a");
 });
 
 test("the named leader comes first, even if its address was unknown", () => {
-  const { choice, state } = startSelector(["a", "b"]);
-  choice.recordLeader("c", { by: "b" });
-  assert.is(choice.findNext(NONE), "c");
-  assert.is(choice.findNext(new Set(["c"])), "a");
-  assert.is(choice.findNext(new Set(["a", "c"])), undefined);
+  const { selector, state } = startSelector(["a", "b"]);
+  selector.recordLeader("c", { by: "b" });
+  assert.is(selector.findNext(NONE), "c");
+  assert.is(selector.findNext(new Set(["c"])), "a");
+  assert.is(selector.findNext(new Set(["a", "c"])), undefined);
   state.nowMs = 500;
-  assert.is(choice.findNext(new Set(["a", "c"])), "b");
+  assert.is(selector.findNext(new Set(["a", "c"])), "b");
 });
 
 test("a named leader that does not answer is retried only after a back-off", () => {
-  const { choice } = startSelector(["a", "b"]);
-  choice.recordLeader("a", { by: "b" });
-  choice.recordFailure("a");
-  assert.is(choice.findNext(NONE), undefined);
+  const { selector } = startSelector(["a", "b"]);
+  selector.recordLeader("a", { by: "b" });
+  selector.recordFailure("a");
+  assert.is(selector.findNext(NONE), undefined);
 });
 
 test("a lost leader is tried last, without a wait", () => {
-  const { choice } = startSelector(["a", "b"]);
-  choice.recordLost("a");
-  assert.is(choice.findNext(NONE), "b");
-  assert.is(choice.findNext(new Set(["b"])), "a");
-  choice.recordLeader("a");
-  assert.is(choice.findNext(NONE), "a", "it was named as the leader again");
-  choice.reset();
-  assert.is(choice.findNext(NONE), "a");
+  const { selector } = startSelector(["a", "b"]);
+  selector.recordLost("a");
+  assert.is(selector.findNext(NONE), "b");
+  assert.is(selector.findNext(new Set(["b"])), "a");
+  selector.recordLeader("a");
+  assert.is(selector.findNext(NONE), "a", "it was named as the leader again");
+  selector.reset();
+  assert.is(selector.findNext(NONE), "a");
 });
 
 test.run();
--- a/src/gateway/create_fleet_link.ts
+++ b/src/gateway/create_fleet_link.ts
@@ -99,19 +99,19 @@
  * Delay before the next control process is tried while an earlier attempt is still
  * unanswered.
  */
-const NEXT_ATTEMPT_MS = 200;
+const NEXT_ATTEMPT_DELAY_MS = 200;
 
 /**
  * The same delay if a pending attempt is likely to succeed: its control process was
  * named as the leader, or has accepted the call and answers once it knows a leader.
  */
-const NEXT_ATTEMPT_LIKELY_MS = 500;
+const LIKELY_ATTEMPT_DELAY_MS = 500;
 
 /**
  * Initial timeout for a control process to accept the call. With many gateways
  * connecting at once it is slow to accept, so the timeout doubles per failed attempt.
  */
-const ACCEPT_TIMEOUT_MS = 3_000;
+const INITIAL_ACCEPT_TIMEOUT_MS = 3_000;
 
 /** Upper bound of the accept timeout. */
 const MAX_ACCEPT_TIMEOUT_MS = 24_000;
@@ -141,7 +141,7 @@
   /** Time of the last message, in ms of the listening clock. */
   lastReceivedMs: number;
   /** Whether the leader has sent its engines, and thereby their numbers. */
-  hasNumbers: boolean;
+  hasEngineNumbers: boolean;
   /** Loads last sent to the leader, as JSON; empty before the first time. */
   sentLoads: string;
   /** Version of the configuration last sent to the leader. */
@@ -156,7 +156,7 @@
  * @returns The link.
  * @throws Nothing.
  * @example
- * await using link = createFleetLink(options);
+ * await using link = createLeaderLink(options);
  */
 export function createFleetLink(options: CreateFleetLinkOptions): FleetLink {
   const { now, log } = options;
@@ -197,7 +197,7 @@
       askedMs: now(),
       isAccepted: false,
       lastReceivedMs: listening.now(),
-      hasNumbers: false,
+      hasEngineNumbers: false,
       sentLoads: "",
       sentVersion: options.getVersion(),
     };
@@ -291,7 +291,7 @@
       case "beatAck":
         return options.onConfirmed(message.sentMs, message.version);
       case "engines":
-        from.hasNumbers = true;
+        from.hasEngineNumbers = true;
         return options.onMessage(message);
       default:
         return options.onMessage(message);
@@ -313,22 +313,22 @@
       if (unresponsiveMs > getTimeoutMs(attempt)) close(attempt, "silent");
     }
     if (now() < searchDueMs) return;
-    if (now() - lastAttemptMs < getNextAttemptMs()) return;
+    if (now() - lastAttemptMs < getNextAttemptDelayMs()) return;
     const address = selector.findNext(listPendingAddresses());
     if (address !== undefined) connect(address);
   }
 
-  function getNextAttemptMs(): number {
+  function getNextAttemptDelayMs(): number {
     if (attempts.size === 0) return 0;
     const isLikely = [...attempts].some(({ address, isAccepted }) =>
       isAccepted || selector.isNamedLeader(address)
     );
-    return isLikely ? NEXT_ATTEMPT_LIKELY_MS : NEXT_ATTEMPT_MS;
+    return isLikely ? LIKELY_ATTEMPT_DELAY_MS : NEXT_ATTEMPT_DELAY_MS;
   }
 
   function getTimeoutMs({ address, isAccepted }: Session): number {
     if (isAccepted) return WELCOME_TIMEOUT_MS;
-    const acceptTimeoutMs = ACCEPT_TIMEOUT_MS *
+    const acceptTimeoutMs = INITIAL_ACCEPT_TIMEOUT_MS *
       2 ** selector.countFailures(address);
     return Math.min(MAX_ACCEPT_TIMEOUT_MS, acceptTimeoutMs);
   }
@@ -344,7 +344,7 @@
     // once the leader has numbered them.
     const loads = session.numbers.keepNumbered(options.getLoads());
     const serializedLoads = JSON.stringify(loads);
-    const hasNewLoads = session.hasNumbers &&
+    const hasNewLoads = session.hasEngineNumbers &&
       serializedLoads !== session.sentLoads;
     if (hasNewLoads) session.sentLoads = serializedLoads;
     const version = options.getVersion();
--- a/src/gateway/create_held_config.ts
+++ b/src/gateway/create_held_config.ts
@@ -53,7 +53,7 @@
  * @returns The holder.
  * @throws Nothing.
  * @example
- * const config = createHeldConfig({ decodeConfig, onChange, onUnfit, log });
+ * const config = createActiveConfig(options);
  */
 export function createHeldConfig(options: CreateHeldConfigOptions): HeldConfig {
   const { now, log, metrics } = options;
--- a/src/gateway/create_request_handler.ts
+++ b/src/gateway/create_request_handler.ts
@@ -69,7 +69,7 @@
  * @returns The request handler.
  * @throws Nothing.
  * @example
- * const server = createCallerServer((received) => void desk.take(received));
+ * const requestHandler = createRequestHandler(options);
  */
 export function createRequestHandler(
   options: CreateRequestHandlerOptions,
@@ -112,9 +112,9 @@
     await serve({ request, response, body: body.body, startedMs });
   }
 
-  async function serve(taken: BufferedRequest): Promise<void> {
-    const { request, response, startedMs } = taken;
-    await waitUntilStarted(taken);
+  async function serve(buffered: BufferedRequest): Promise<void> {
+    const { request, response, startedMs } = buffered;
+    await waitUntilStarted(buffered);
     const decision = decideCall(request, {
       table: context.getTable(),
       knowsEngines: options.knowsEngines(),
@@ -135,9 +135,14 @@
     const requestKey = getRequestKey({
       ...request,
       account: decision.call.account?.name,
-      body: taken.body,
+      body: buffered.body,
     });
-    const call: Call = { ...taken, ...decision.call, requestKey, deadlineMs };
+    const call: Call = {
+      ...buffered,
+      ...decision.call,
+      requestKey,
+      deadlineMs,
+    };
     if (route.isStream) {
       context.rates.noteAsked(service);
       await serveStreamCall(call, context);
@@ -151,11 +156,11 @@
       context.endRate.getLongestMs() < context.getGraceLeftMs();
   }
 
-  async function waitUntilStarted(taken: BufferedRequest): Promise<void> {
+  async function waitUntilStarted(buffered: BufferedRequest): Promise<void> {
     const hasStarted = () =>
       context.getTable() !== undefined && options.knowsEngines() &&
       lease.wasEverValid();
-    const { response, startedMs } = taken;
+    const { response, startedMs } = buffered;
     while (!hasStarted() && !options.isDraining() && !response.destroyed) {
       if (now() - startedMs > START_MAX_WAIT_MS) return;
       await sleep(START_POLL_MS);
--- a/src/quarantine/take_crashes.ts
+++ b/src/quarantine/take_crashes.ts
@@ -22,7 +22,7 @@
  * @returns The updated cases; the same object if nothing changed.
  * @throws Nothing.
  * @example
- * const next = takeCrashes(cases, [{ requestKey, engineId, isTrial: false }]);
+ * const next = recordCrashes(cases, [{ requestKey, engineId, isTrial: false }]);
  */
 export function takeCrashes(
   cases: CrashCases,
@@ -42,7 +42,7 @@
  * @returns Whether it is.
  * @throws Nothing.
  * @example
- * if (isExplained(cases, engineId)) return;
+ * if (isCrashAttributed(cases, engineId)) return;
  */
 export function isExplained(cases: CrashCases, engineId: string): boolean {
   return [...cases.values()].some((one) =>
