--- a/src/quarantine/constants.ts
+++ b/src/quarantine/constants.ts
@@ -39,7 +39,7 @@
 
 /**
  * Maximum time for which a trial keeps other suspects off its upstream, unless its
- * gateway reports the end earlier. As long as callers wait, since the trial may be
- * queued at the upstream.
+ * gateway reports the end earlier. This is as long as callers wait, since the trial may
+ * be queued at the upstream.
  */
 export const MAX_TRIAL_MS = 25_000;
