--- a/src/clocks/create_listening_clock_test.ts
+++ b/src/clocks/create_listening_clock_test.ts
@@ -13,7 +13,7 @@
   return { clock, pass: (ms: number) => void (nowMs += ms) };
 }
 
-test("with looks in time it is the steady clock", () => {
+test("with regular looks it follows the steady clock", () => {
   const { clock, pass } = startClock();
   for (let at = 0; at < 50; at++) {
     pass(LOOK_INTERVAL_MS);
@@ -23,7 +23,7 @@
   assert.is(clock.now(), 5_040);
 });
 
-test("a loop that stood still counts as one late look", () => {
+test("a blocked event loop counts as one late look", () => {
   const { clock, pass } = startClock();
   pass(4_000);
   assert.is(clock.now(), 150);
@@ -32,7 +32,7 @@
   assert.is(clock.now(), 160);
 });
 
-test("it stands still while nothing is taken", () => {
+test("it stops while messages are not processed", () => {
   const { clock, pass } = startClock();
   pass(100);
   clock.look({ isListening: false });
