--- a/src/quorum/_lib/draft.ts
+++ b/src/quorum/_lib/draft.ts
@@ -1,6 +1,6 @@
 /**
- * The working copy of one step. Fields of the draft are replaced, values that
- * they hold are never changed in place, so the state given in stays as it was.
+ * The mutable working copy of one step. Fields are reassigned, but their values
+ * are never mutated in place, so the input state stays unchanged.
  *
  * @module
  */
@@ -19,16 +19,16 @@
 
 type Writable<T> = { -readonly [Key in keyof T]: T[Key] };
 
-/** A state under change, its effects, and the step's time and randomness. */
+/** Mutable copy of a state, with the effects and the context of the step. */
 export interface Draft extends Writable<QuorumState> {
   effects: QuorumEffect[];
   context: StepContext;
-  /** First index of the entries to persist; 0 where there are none. */
+  /** First index of the entries to persist; 0 if there are none. */
   dirtyFromIndex: number;
   hardDirty: boolean;
 }
 
-/** Opens a draft on a state. */
+/** Creates a draft from a state. */
 export function openDraft(state: QuorumState, context: StepContext): Draft {
   return {
     ...state,
@@ -39,12 +39,12 @@
   };
 }
 
-/** Index of the last entry, or of the snapshot where the log is empty. */
+/** Index of the last entry, or of the snapshot if the log is empty. */
 export function getLastIndex(state: QuorumState): number {
   return state.snapshot.index + state.log.length;
 }
 
-/** Term of the entry at `index`; undefined where it is not held. */
+/** Term of the entry at `index`; undefined if it is not in the log. */
 export function getTermAt(
   state: QuorumState,
   index: number,
@@ -68,19 +68,19 @@
   return state.members.filter((m) => m.role === "voter").map((m) => m.id);
 }
 
-/** Whether the replica itself is a voter by its newest membership. */
+/** Whether the replica is a voter in the newest membership that it knows. */
 export function isVoter(state: QuorumState): boolean {
   return state.members.some((m) => m.id === state.selfId && m.role === "voter");
 }
 
-/** Whether `ids` hold a majority of the voters. */
+/** Whether `ids` contain a majority of the voters. */
 export function isQuorum(state: QuorumState, ids: ReadonlySet<ReplicaId>) {
   const voters = getVoterIds(state);
   const count = voters.filter((id) => ids.has(id)).length;
   return count * 2 > voters.length;
 }
 
-/** Queues a message; by default it waits for the sync of what came before. */
+/** Queues a message; by default it waits until earlier writes are synced. */
 export function send(
   draft: Draft,
   to: ReplicaId,
@@ -91,7 +91,7 @@
   draft.effects.push({ type: "send", message, afterSync });
 }
 
-/** Moves to another role and reports the change. */
+/** Changes the role and reports the change. */
 export function setRole(draft: Draft, role: QuorumRole): void {
   draft.role = role;
   draft.effects.push({
@@ -102,22 +102,26 @@
   });
 }
 
-/** Share of the election timeout between two tries before any leader is heard. */
-const FIRST_ELECTION_SHARE = 0.2;
+/**
+ * Fraction of the election timeout between election attempts until the first
+ * leader contact.
+ */
+const INITIAL_TIMEOUT_FRACTION = 0.2;
 
-/** Draws the time at which the replica will stand for election. */
+/** Sets the time of the replica's next election attempt, with random jitter. */
 export function resetElectionTimer(draft: Draft): void {
   const { electionTimeoutMs, electionJitterMs } = draft.timing;
   const jitterMs = draft.context.random * electionJitterMs;
-  // Where all start together, the first to stand finds the others not there
-  // yet; there is no leader whose beats a longer wait would let in.
-  const waitMs = draft.isLeaderUnheard
-    ? electionTimeoutMs * FIRST_ELECTION_SHARE
+  // When all replicas start together, the first candidate may find its peers
+  // not yet running. It retries soon: without a leader there are no heartbeats
+  // to wait for.
+  const timeoutMs = draft.hasNoLeaderContact
+    ? electionTimeoutMs * INITIAL_TIMEOUT_FRACTION
     : electionTimeoutMs;
-  draft.electionDeadlineMs = draft.context.nowMs + waitMs + jitterMs;
+  draft.electionDeadlineMs = draft.context.nowMs + timeoutMs + jitterMs;
 }
 
-/** Enters a term as follower; an older term's vote is forgotten. */
+/** Becomes a follower in a term; a new term clears the vote. */
 export function becomeFollower(
   draft: Draft,
   options: { term: number; leaderId: ReplicaId | null },
@@ -139,7 +143,7 @@
   if (changed) setRole(draft, "follower");
 }
 
-/** Turns down all reads that still wait. */
+/** Refuses all pending reads. */
 export function refuseReads(draft: Draft): void {
   for (const read of draft.reads) {
     draft.effects.push({ type: "readRefused", readId: read.readId });
@@ -147,14 +151,14 @@
   draft.reads = [];
 }
 
-/** Marks entries from `index` on as not yet persisted. */
+/** Marks the entries from `index` on as not yet persisted. */
 export function markDirty(draft: Draft, index: number): void {
   const first = draft.dirtyFromIndex;
   draft.dirtyFromIndex = first === 0 ? index : Math.min(first, index);
   draft.syncedIndex = Math.min(draft.syncedIndex, index - 1);
 }
 
-/** Finds the newest membership in the log, or that of the snapshot. */
+/** Finds the newest membership in the log, or else that of the snapshot. */
 export function findMembers(
   snapshot: SnapshotMeta,
   log: readonly LogEntry[],
@@ -168,7 +172,7 @@
   return { members: snapshot.members, membersIndex: snapshot.index };
 }
 
-/** The membership that held at an index of the log. */
+/** The membership in effect at an index of the log. */
 export function getMembersAt(
   state: QuorumState,
   index: number,
@@ -177,7 +181,7 @@
   return findMembers(state.snapshot, entries).members;
 }
 
-/** Raises the commit index and hands out the entries that it newly covers. */
+/** Raises the commit index and emits the newly committed entries. */
 export function advanceCommit(draft: Draft, index: number): void {
   if (index <= draft.commitIndex) return;
   const entries = getEntries(draft, draft.commitIndex + 1, index);
@@ -185,7 +189,7 @@
   draft.effects.push({ type: "commit", entries });
 }
 
-/** Closes the draft: what must be persisted goes before all else. */
+/** Finishes the draft; its `persist` effect goes before all other effects. */
 export function closeDraft(draft: Draft): {
   state: QuorumState;
   effects: readonly QuorumEffect[];
--- a/src/quorum/_lib/election.ts
+++ b/src/quorum/_lib/election.ts
@@ -1,5 +1,5 @@
 /**
- * Elections: pre-vote, vote, and what a new leader does first.
+ * Elections: pre-vote, vote and the first steps of a new leader.
  *
  * @module
  */
@@ -24,18 +24,18 @@
 } from "./draft.ts";
 import { broadcastAppend, getProgress } from "./replication.ts";
 
-/** Asks the others whether an election could be won; no term is spent. */
+/** Asks the voters whether an election could be won, without raising the term. */
 export function startPreVote(draft: Draft): void {
   resetElectionTimer(draft);
   if (!isVoter(draft)) return;
   draft.leaderId = null;
   draft.votes = { [draft.selfId]: true };
   setRole(draft, "precandidate");
-  askForVotes(draft, { preVote: true, transfer: false });
+  requestVotes(draft, { preVote: true, transfer: false });
   countVotes(draft, { transfer: false });
 }
 
-/** Stands for election in a new term. */
+/** Becomes a candidate in a new term. */
 export function startElection(
   draft: Draft,
   options: { transfer: boolean },
@@ -48,11 +48,11 @@
   draft.votes = { [draft.selfId]: true };
   resetElectionTimer(draft);
   setRole(draft, "candidate");
-  askForVotes(draft, { preVote: false, transfer: options.transfer });
+  requestVotes(draft, { preVote: false, transfer: options.transfer });
   countVotes(draft, options);
 }
 
-function askForVotes(
+function requestVotes(
   draft: Draft,
   options: { preVote: boolean; transfer: boolean },
 ): void {
@@ -70,18 +70,18 @@
   }
 }
 
-/** Answers a request for a vote or a pre-vote. */
+/** Answers a vote or pre-vote request. */
 export function handleVoteRequest(
   draft: Draft,
   message: QuorumMessage,
 ): void {
   const body = message.body as VoteRequestBody;
   const { nowMs } = draft.context;
-  const quietMs = nowMs - draft.leaderContactMs;
-  const leaseHolds = draft.role === "leader" ||
-    quietMs < draft.timing.electionTimeoutMs;
-  // A leader that still holds a lease must not be replaced unless it asked.
-  if (leaseHolds && !body.transfer) {
+  const sinceContactMs = nowMs - draft.leaderContactMs;
+  const leaseMayHold = draft.role === "leader" ||
+    sinceContactMs < draft.timing.electionTimeoutMs;
+  // A leader that may still hold a lease is only replaced at its own request.
+  if (leaseMayHold && !body.transfer) {
     refuseVote(draft, message);
     return;
   }
@@ -92,13 +92,13 @@
   const lastTerm = getTermAt(draft, lastIndex) ?? 0;
   const upToDate = body.lastTerm > lastTerm ||
     (body.lastTerm === lastTerm && body.lastIndex >= lastIndex);
-  const free = body.preVote
+  const canVote = body.preVote
     ? message.term > draft.term
     : message.term === draft.term &&
       (draft.votedFor === null || draft.votedFor === message.from);
-  // A learner votes too: the candidate may know of its promotion first, and
-  // counts only those that are voters by its own log.
-  if (!upToDate || !free) {
+  // A learner votes too: the candidate may know of its promotion before it does,
+  // and counts only the votes of members that are voters in its own log.
+  if (!upToDate || !canVote) {
     refuseVote(draft, message);
     return;
   }
@@ -120,7 +120,7 @@
   });
 }
 
-/** Counts the answer to a vote or a pre-vote. */
+/** Counts the response to a vote or pre-vote request. */
 export function handleVoteResponse(
   draft: Draft,
   message: QuorumMessage,
@@ -153,7 +153,7 @@
     draft.members.map(({ id }) => [id, getProgress(draft, id)]),
   );
   draft.leaderContactMs = nowMs;
-  draft.isLeaderUnheard = false;
+  draft.hasNoLeaderContact = false;
   setRole(draft, "leader");
   const index = getLastIndex(draft) + 1;
   const noop = { index, term: draft.term, kind: "noop" as const, body: "" };
--- a/src/quorum/_lib/reads.ts
+++ b/src/quorum/_lib/reads.ts
@@ -1,6 +1,6 @@
 /**
- * Reads: a leader answers at once under its lease, else after a round of
- * heartbeats that began no earlier than the read.
+ * Linearizable reads: a leader answers at once while it holds a lease, otherwise
+ * after a heartbeat round that began no earlier than the read.
  *
  * @module
  */
@@ -8,7 +8,7 @@
 import type { QuorumState, StepContext } from "../types.ts";
 import { type Draft, getTermAt, getVoterIds } from "./draft.ts";
 
-/** Start, in ms, of the newest round that a quorum of voters answered. */
+/** Start time, in ms, of the newest round that a quorum of voters answered. */
 export function getQuorumRoundMs(state: QuorumState, nowMs: number): number {
   const rounds = getVoterIds(state).map((id) =>
     id === state.selfId ? nowMs : state.peers[id]?.ackedSentMs ?? -Infinity
@@ -17,32 +17,32 @@
   return rounds[Math.floor(rounds.length / 2)] ?? -Infinity;
 }
 
-/** Whether a quorum has answered a round that began within `lengthMs`. */
+/** Whether a quorum has answered a round that began within `maxAgeMs`. */
 export function isLeaseValid(
   state: QuorumState,
-  options: { nowMs: number; lengthMs: number },
+  options: { nowMs: number; maxAgeMs: number },
 ): boolean {
   const roundMs = getQuorumRoundMs(state, options.nowMs);
-  return options.nowMs - roundMs < options.lengthMs;
+  return options.nowMs - roundMs < options.maxAgeMs;
 }
 
-/** Whether this replica may answer reads and give orders without a round. */
+/** Whether this replica may act as leader without a new heartbeat round. */
 export function hasLeaderLease(
   state: QuorumState,
   { nowMs, wokeMs = -Infinity }: Pick<StepContext, "nowMs" | "wokeMs">,
 ): boolean {
   if (state.role !== "leader" || state.leaseForfeited) return false;
-  const committedOwn = getTermAt(state, state.commitIndex) === state.term;
-  // Others may have voted while the clock stood still: only a round that began
-  // since then says that they have not.
-  const isSinceWaking = getQuorumRoundMs(state, nowMs) >= wokeMs;
-  const lengthMs = state.timing.leaseMs;
-  return committedOwn && isSinceWaking &&
-    isLeaseValid(state, { nowMs, lengthMs });
+  const hasCommittedInTerm = getTermAt(state, state.commitIndex) === state.term;
+  // Other replicas may have elected a leader while this machine was suspended;
+  // only a round that began after it resumed proves that they have not.
+  const isSinceResume = getQuorumRoundMs(state, nowMs) >= wokeMs;
+  const maxAgeMs = state.timing.leaseMs;
+  return hasCommittedInTerm && isSinceResume &&
+    isLeaseValid(state, { nowMs, maxAgeMs });
 }
 
-/** Answers the waiting reads that a quorum has meanwhile confirmed. */
-export function settleReads(draft: Draft): void {
+/** Completes the pending reads that a quorum has confirmed. */
+export function completeReads(draft: Draft): void {
   if (draft.reads.length === 0) return;
   if (getTermAt(draft, draft.commitIndex) !== draft.term) return;
   const roundMs = getQuorumRoundMs(draft, draft.context.nowMs);
--- a/src/quorum/_lib/replication.ts
+++ b/src/quorum/_lib/replication.ts
@@ -1,6 +1,6 @@
 /**
- * Replication: what a leader sends, what a follower takes, and when an entry
- * counts as committed.
+ * Log replication: append requests of the leader, their handling by followers,
+ * and the commit rule.
  *
  * @module
  */
@@ -28,9 +28,9 @@
   resetElectionTimer,
   send,
 } from "./draft.ts";
-import { isLeaseValid, settleReads } from "./reads.ts";
+import { completeReads, isLeaseValid } from "./reads.ts";
 
-/** Starts a round: every other member gets a heartbeat or entries. */
+/** Starts a round: sends entries or a heartbeat to every other member. */
 export function broadcastAppend(draft: Draft): void {
   const { nowMs } = draft.context;
   draft.heartbeatDueMs = nowMs + draft.timing.heartbeatIntervalMs;
@@ -39,7 +39,7 @@
   }
 }
 
-/** The leader's view of a member, or what is assumed of a new one. */
+/** Replication progress of a member, or the initial progress of a new one. */
 export function getProgress(draft: Draft, id: ReplicaId): PeerProgress {
   return draft.peers[id] ?? {
     nextIndex: getLastIndex(draft) + 1,
@@ -49,11 +49,12 @@
   };
 }
 
-/** Sends one member what it lacks, or a heartbeat. */
+/** Sends a member the entries that it lacks, or a heartbeat. */
 export function sendAppend(draft: Draft, id: ReplicaId): void {
   const { nowMs } = draft.context;
   const progress = getProgress(draft, id);
-  // Entries lost on the way show as a mismatch at the next heartbeat.
+  // `nextIndex` advances before the response: entries lost in transit cause a
+  // mismatch at the next heartbeat and are then sent again.
   const previousIndex = progress.nextIndex - 1;
   const previousTerm = getTermAt(draft, previousIndex);
   if (previousTerm === undefined) {
@@ -84,12 +85,12 @@
 ): void {
   const { id, progress } = options;
   const { nowMs } = draft.context;
-  const onItsWay = progress.snapshotSentMs > 0 &&
+  const isInTransit = progress.snapshotSentMs > 0 &&
     nowMs - progress.snapshotSentMs < SNAPSHOT_RESEND_MS;
-  const snapshotSentMs = onItsWay ? progress.snapshotSentMs : nowMs;
+  const snapshotSentMs = isInTransit ? progress.snapshotSentMs : nowMs;
   draft.peers = { ...draft.peers, [id]: { ...progress, snapshotSentMs } };
-  if (!onItsWay) draft.effects.push({ type: "sendSnapshot", to: id });
-  // The heartbeat still goes out, so that the member knows its leader.
+  if (!isInTransit) draft.effects.push({ type: "sendSnapshot", to: id });
+  // Still send a heartbeat, so that the member does not start an election.
   const body: AppendRequestBody = {
     type: "appendRequest",
     previousIndex: draft.snapshot.index,
@@ -101,47 +102,47 @@
   send(draft, id, { body, afterSync: false });
 }
 
-/** Follows the sender of a current append request or snapshot. */
+/** Accepts the sender of an append request or snapshot as the leader. */
 export function followLeader(draft: Draft, message: QuorumMessage): void {
   if (draft.role !== "follower" || draft.leaderId !== message.from) {
     becomeFollower(draft, { term: message.term, leaderId: message.from });
   }
   draft.leaderContactMs = draft.context.nowMs;
-  draft.isLeaderUnheard = false;
+  draft.hasNoLeaderContact = false;
   resetElectionTimer(draft);
 }
 
-/** Takes entries from the leader. */
+/** Handles an append request from the leader. */
 export function handleAppendRequest(
   draft: Draft,
   message: QuorumMessage,
 ): void {
   const body = message.body as AppendRequestBody;
   if (message.term < draft.term) {
-    answer(draft, message, { success: false, matchIndex: 0 });
+    sendAppendResponse(draft, message, { success: false, matchIndex: 0 });
     return;
   }
   followLeader(draft, message);
   const { previousIndex } = body;
-  const covered = previousIndex < draft.snapshot.index;
-  if (!covered && getTermAt(draft, previousIndex) !== body.previousTerm) {
+  const isCompacted = previousIndex < draft.snapshot.index;
+  if (!isCompacted && getTermAt(draft, previousIndex) !== body.previousTerm) {
     const matchIndex = Math.min(getLastIndex(draft), previousIndex - 1);
-    answer(draft, message, {
+    sendAppendResponse(draft, message, {
       success: false,
       matchIndex: Math.max(matchIndex, draft.commitIndex),
     });
     return;
   }
-  takeEntries(draft, body.entries);
+  appendEntries(draft, body.entries);
   const matchIndex = previousIndex + body.entries.length;
   advanceCommit(draft, Math.min(body.commitIndex, matchIndex));
-  answer(draft, message, {
+  sendAppendResponse(draft, message, {
     success: true,
     matchIndex: Math.max(matchIndex, draft.snapshot.index),
   });
 }
 
-function takeEntries(draft: Draft, entries: readonly LogEntry[]): void {
+function appendEntries(draft: Draft, entries: readonly LogEntry[]): void {
   const fresh = entries.filter((entry) =>
     entry.index > draft.snapshot.index &&
     getTermAt(draft, entry.index) !== entry.term
@@ -155,7 +156,7 @@
   Object.assign(draft, findMembers(draft.snapshot, draft.log));
 }
 
-function answer(
+function sendAppendResponse(
   draft: Draft,
   message: QuorumMessage,
   result: { success: boolean; matchIndex: number },
@@ -169,7 +170,7 @@
   send(draft, message.from, { body });
 }
 
-/** Takes a follower's answer: progress, lease, commit. */
+/** Handles a follower's response: updates its progress, the lease and commits. */
 export function handleAppendResponse(
   draft: Draft,
   message: QuorumMessage,
@@ -179,32 +180,32 @@
   const before = getProgress(draft, message.from);
   const ackedSentMs = Math.max(before.ackedSentMs, body.echoSentMs);
   const next = body.success
-    ? takeSuccess(before, body)
-    : takeMismatch(before, { hintIndex: body.matchIndex, draft });
+    ? applySuccess(before, body)
+    : applyMismatch(before, { hintIndex: body.matchIndex, draft });
   draft.peers = { ...draft.peers, [message.from]: { ...next, ackedSentMs } };
-  settleReads(draft);
+  completeReads(draft);
   if (!body.success) {
-    // The same place again would only be refused again: wait for a round.
+    // Sending from the same index would fail again: wait for the next round.
     if (next.nextIndex !== before.nextIndex) sendAppend(draft, message.from);
     return;
   }
   advanceLeaderCommit(draft);
-  handOver(draft);
+  advanceTransfer(draft);
   if (next.nextIndex <= getLastIndex(draft)) sendAppend(draft, message.from);
 }
 
-function takeSuccess(
+function applySuccess(
   before: PeerProgress,
   body: AppendResponseBody,
 ): PeerProgress {
   const matchIndex = Math.max(before.matchIndex, body.matchIndex);
   const nextIndex = Math.max(before.nextIndex, matchIndex + 1);
-  const arrived = matchIndex > before.matchIndex;
-  const snapshotSentMs = arrived ? 0 : before.snapshotSentMs;
+  const advanced = matchIndex > before.matchIndex;
+  const snapshotSentMs = advanced ? 0 : before.snapshotSentMs;
   return { ...before, matchIndex, nextIndex, snapshotSentMs };
 }
 
-function takeMismatch(
+function applyMismatch(
   before: PeerProgress,
   options: { hintIndex: number; draft: Draft },
 ): PeerProgress {
@@ -216,8 +217,8 @@
   return { ...before, nextIndex };
 }
 
-/** Asks the chosen successor to stand, once it holds the whole log. */
-export function handOver(draft: Draft): void {
+/** Sends `timeoutNow` to the transfer target once it holds the whole log. */
+export function advanceTransfer(draft: Draft): void {
   const { transferTo } = draft;
   if (transferTo === null) return;
   const { matchIndex } = getProgress(draft, transferTo);
@@ -226,7 +227,7 @@
   send(draft, transferTo, { body: { type: "timeoutNow" } });
 }
 
-/** Index that a quorum of voters holds on synced disks. */
+/** Highest index that a quorum of voters has synced to disk. */
 export function getQuorumIndex(state: QuorumState): number {
   const matched = getVoterIds(state).map((id) =>
     id === state.selfId ? state.syncedIndex : state.peers[id]?.matchIndex ?? 0
@@ -235,19 +236,25 @@
   return matched[Math.floor(matched.length / 2)] ?? 0;
 }
 
-/** Commits what a quorum holds, but only through an entry of this term. */
+/**
+ * Commits the entries that a quorum holds. Entries of earlier terms are only
+ * committed together with an entry of the current term.
+ */
 export function advanceLeaderCommit(draft: Draft): void {
   const index = getQuorumIndex(draft);
   if (index <= draft.commitIndex) return;
   if (getTermAt(draft, index) !== draft.term) return;
   advanceCommit(draft, index);
-  settleReads(draft);
+  completeReads(draft);
 }
 
-/** Gives up leading when no quorum has answered for an election timeout. */
-export function isCutOff(state: QuorumState, nowMs: number): boolean {
+/**
+ * Whether no quorum has answered this leader for the longest election timeout,
+ * so that it has to step down.
+ */
+export function hasLostQuorum(state: QuorumState, nowMs: number): boolean {
   const { electionTimeoutMs, electionJitterMs } = state.timing;
-  const patienceMs = electionTimeoutMs + electionJitterMs;
-  if (nowMs - state.leaderContactMs < patienceMs) return false;
-  return !isLeaseValid(state, { nowMs, lengthMs: patienceMs });
+  const timeoutMs = electionTimeoutMs + electionJitterMs;
+  if (nowMs - state.leaderContactMs < timeoutMs) return false;
+  return !isLeaseValid(state, { nowMs, maxAgeMs: timeoutMs });
 }
--- a/src/quorum/assert_quorum_invariants.ts
+++ b/src/quorum/assert_quorum_invariants.ts
@@ -1,5 +1,5 @@
 /**
- * What must hold of a replica after each step, asserted inside the program.
+ * Runtime assertion of the protocol's invariants after each step.
  *
  * @module
  */
@@ -9,15 +9,15 @@
 import type { QuorumState } from "./types.ts";
 
 /**
- * Asserts what must hold between two states of one replica.
+ * Asserts the invariants between two consecutive states of one replica.
  *
- * Terms and commit indexes never fall, a vote is not changed within its term,
- * the log has no gaps, and a committed entry keeps its term.
+ * The term and the commit index never decrease, the vote does not change within
+ * a term, the log has no gaps, and a committed entry keeps its term.
  *
  * @param before - The state before the step.
- * @param after - The state after it.
+ * @param after - The state after the step.
  * @returns Nothing.
- * @throws {QuorumInvariantError} When one of them does not hold.
+ * @throws {QuorumInvariantError} When an invariant is violated.
  * @example
  * assertQuorumInvariants(before, stepQuorum(before, event, context).state);
  */
@@ -25,31 +25,31 @@
   before: QuorumState,
   after: QuorumState,
 ): void {
-  const breach = findBreach(before, after);
-  if (breach === undefined) return;
-  throw new QuorumInvariantError(`Quorum invariant broken: ${breach}`);
+  const violation = findViolation(before, after);
+  if (violation === undefined) return;
+  throw new QuorumInvariantError(`Quorum invariant violated: ${violation}`);
 }
 
-function findBreach(
+function findViolation(
   before: QuorumState,
   after: QuorumState,
 ): string | undefined {
-  if (after.term < before.term) return "the term fell";
-  if (after.commitIndex < before.commitIndex) return "the commit index fell";
+  if (after.term < before.term) return "term decreased";
+  if (after.commitIndex < before.commitIndex) return "commit index decreased";
   if (after.commitIndex > getLastIndex(after)) {
-    return "the commit index is past the log";
+    return "commit index is past the end of the log";
   }
   const voteChanged = after.term === before.term &&
     before.votedFor !== null && after.votedFor !== before.votedFor;
-  if (voteChanged) return "the vote changed within a term";
+  if (voteChanged) return "vote changed within a term";
   const { snapshot, log } = after;
   const last = log[log.length - 1];
   if (last && last.index !== snapshot.index + log.length) {
-    return "the log has a gap";
+    return "log has a gap";
   }
   const termBefore = getTermAt(before, before.commitIndex);
   const termAfter = getTermAt(after, before.commitIndex);
-  const rewritten = termBefore !== undefined && termAfter !== undefined &&
+  const overwritten = termBefore !== undefined && termAfter !== undefined &&
     termBefore !== termAfter;
-  return rewritten ? "a committed entry was rewritten" : undefined;
+  return overwritten ? "committed entry was overwritten" : undefined;
 }
--- a/src/quorum/constants.ts
+++ b/src/quorum/constants.ts
@@ -1,5 +1,5 @@
 /**
- * The quorum's constants and how each was come by.
+ * Constants of the quorum protocol.
  *
  * @module
  */
@@ -7,10 +7,11 @@
 import type { QuorumTiming } from "./types.ts";
 
 /**
- * Default times. The lease is a fifth shorter than the election timeout, which
- * covers clocks that run up to a tenth fast and a tenth slow. Heartbeats are an
- * eighth of the timeout, so that several may be lost before an election. A dead
- * leader is noticed within timeout plus jitter: 400 to 600 ms.
+ * Default durations. The lease is 20 % shorter than the election timeout, which
+ * tolerates clocks that run up to 10 % fast or slow. The heartbeat interval is
+ * an eighth of the timeout, so that several heartbeats may be lost before an
+ * election. A failed leader is detected within the timeout plus jitter: 400 to
+ * 600 ms.
  */
 export const DEFAULT_QUORUM_TIMING: QuorumTiming = {
   electionTimeoutMs: 400,
@@ -19,11 +20,14 @@
   leaseMs: 320,
 };
 
-/** Entries in one append request, at most; bounds one message. */
+/** Maximum number of entries per append request; bounds the message size. */
 export const MAX_APPEND_ENTRIES = 256;
 
-/** Ms after which a snapshot that nobody answered is sent again. */
+/** Time, in ms, after which an unacknowledged snapshot is sent again. */
 export const SNAPSHOT_RESEND_MS = 5_000;
 
-/** Entries kept behind a snapshot, so that a slow follower needs no transfer. */
+/**
+ * Entries kept in the log after a snapshot covers them, so that a slow follower
+ * can catch up without a snapshot transfer.
+ */
 export const TRAILING_ENTRIES = 256;
--- a/src/quorum/create_quorum_state.ts
+++ b/src/quorum/create_quorum_state.ts
@@ -1,5 +1,5 @@
 /**
- * The state with which a replica starts.
+ * The initial state of a replica.
  *
  * @module
  */
@@ -15,7 +15,7 @@
   SnapshotMeta,
 } from "./types.ts";
 
-/** What a replica finds on its disk, and its times. */
+/** The replica's persisted state, its timing and its start time. */
 export interface CreateQuorumStateOptions {
   readonly hard?: HardState;
   readonly snapshot?: SnapshotMeta;
@@ -24,8 +24,8 @@
   /** Monotonic time, in ms. */
   readonly nowMs?: number;
   /**
-   * Time, in ms, since which it surely heard no leader: when its process
-   * started; now by default.
+   * Monotonic time, in ms, when the process started: no leader has contacted
+   * the replica since. Defaults to `nowMs`.
    */
   readonly quietSinceMs?: number;
   /** A number in [0, 1). */
@@ -33,16 +33,16 @@
 }
 
 /**
- * Makes the state of a replica that starts.
+ * Creates the initial state of a replica.
  *
- * The start of its process counts as contact with a leader: a replica that
- * voted for nobody it remembers may still have promised its silence to one, so
- * it keeps that promise before it votes. Once that is over it stands soon, for
- * all may have started together.
+ * The start of the process counts as leader contact: before its restart the
+ * replica may have answered a heartbeat, on which a leader's lease still rests,
+ * so it must not vote until the election timeout has passed. After that it
+ * starts an election soon, since all replicas may have started together.
  *
  * @param selfId - The replica's id.
- * @param options - What stands on its disk, its times, the time now.
- * @returns The state, as a follower.
+ * @param options - The persisted state, the timing and the current time.
+ * @returns The state, in the follower role.
  * @throws Nothing.
  * @example
  * const state = createQuorumState("vm-1.c0ffee", { nowMs: 0, random: 0.5 });
@@ -60,7 +60,7 @@
     quietSinceMs = nowMs,
     random = 0.5,
   } = options;
-  const promisedMs = quietSinceMs + timing.electionTimeoutMs;
+  const voteAllowedMs = quietSinceMs + timing.electionTimeoutMs;
   const jitterMs = random * timing.electionJitterMs;
   return {
     selfId,
@@ -74,8 +74,8 @@
     role: "follower",
     leaderId: null,
     leaderContactMs: quietSinceMs,
-    isLeaderUnheard: true,
-    electionDeadlineMs: Math.max(nowMs, promisedMs) + jitterMs,
+    hasNoLeaderContact: true,
+    electionDeadlineMs: Math.max(nowMs, voteAllowedMs) + jitterMs,
     heartbeatDueMs: 0,
     votes: {},
     peers: {},
--- a/src/quorum/create_quorum_state_test.ts
+++ b/src/quorum/create_quorum_state_test.ts
@@ -19,10 +19,10 @@
   leaseMs: 400,
 };
 
-/** A replica whose program was ready 800 ms after its process started. */
+/** Time, in ms after the start of the process, when the replica was created. */
 const READY_MS = 800;
 
-function start(quietSinceMs?: number): QuorumState {
+function makeState(quietSinceMs?: number): QuorumState {
   return createQuorumState("a", {
     snapshot: { index: 0, term: 0, members: MEMBERS },
     timing: TIMING,
@@ -54,25 +54,27 @@
   );
 }
 
-test("a replica keeps the silence that it may have promised before it started", () => {
-  assert.not.ok(grants(start(), READY_MS + 499));
-  assert.ok(grants(start(), READY_MS + 500));
-  assert.not.ok(grants(start(700), READY_MS + 399));
+test("a replica grants no vote within an election timeout of its start", () => {
+  assert.not.ok(grants(makeState(), READY_MS + 499));
+  assert.ok(grants(makeState(), READY_MS + 500));
+  assert.not.ok(grants(makeState(700), READY_MS + 399));
 });
 
-test("time since its process started counts as silence", () => {
-  assert.ok(grants(start(0), READY_MS));
-  assert.ok(start(0).electionDeadlineMs <= READY_MS + TIMING.electionJitterMs);
+test("the time since the process started counts towards the election timeout", () => {
+  assert.ok(grants(makeState(0), READY_MS));
+  assert.ok(
+    makeState(0).electionDeadlineMs <= READY_MS + TIMING.electionJitterMs,
+  );
 });
 
-test("until it hears a leader it stands again soon", () => {
-  const first = stepQuorum(start(0), { type: "tick" }, {
+test("until the first leader contact, elections are retried soon", () => {
+  const first = stepQuorum(makeState(0), { type: "tick" }, {
     nowMs: 1_000,
     random: 0.5,
   }).state;
   assert.is(first.role, "precandidate");
   assert.is(first.electionDeadlineMs, 1_200);
-  const heard = stepQuorum(first, {
+  const afterContact = stepQuorum(first, {
     type: "message",
     message: {
       from: "b",
@@ -88,7 +90,7 @@
       },
     },
   }, { nowMs: 1_100, random: 0.5 }).state;
-  assert.is(heard.electionDeadlineMs, 1_700);
+  assert.is(afterContact.electionDeadlineMs, 1_700);
 });
 
 /** A leader whose newest round was answered at 2,000 ms. */
@@ -100,7 +102,7 @@
     heardMs: 2_000,
   };
   return {
-    ...start(0),
+    ...makeState(0),
     role: "leader",
     term: 1,
     leaderId: "a",
@@ -111,12 +113,12 @@
   };
 }
 
-test("a leader that wakes has no lease before a quorum answers anew", () => {
+test("a leader has no lease after a suspension until a quorum answers again", () => {
   const leader = makeLeader();
   assert.ok(hasLeaderLease(leader, { nowMs: 2_100 }));
-  const woken = { nowMs: 2_110, wokeMs: 2_105, random: 0.5 };
-  assert.not.ok(hasLeaderLease(leader, woken));
-  const { state } = stepQuorum(leader, { type: "read", readId: 1 }, woken);
+  const resumed = { nowMs: 2_110, wokeMs: 2_105, random: 0.5 };
+  assert.not.ok(hasLeaderLease(leader, resumed));
+  const { state } = stepQuorum(leader, { type: "read", readId: 1 }, resumed);
   assert.is(state.reads.length, 1, "the read waits for a round");
   const peers = Object.fromEntries(
     Object.entries(leader.peers).map(([id, peer]) => [
@@ -124,7 +126,7 @@
       { ...peer, ackedSentMs: 2_108 },
     ]),
   );
-  assert.ok(hasLeaderLease({ ...leader, peers }, woken));
+  assert.ok(hasLeaderLease({ ...leader, peers }, resumed));
 });
 
 test.run();
--- a/src/quorum/index.ts
+++ b/src/quorum/index.ts
@@ -1,5 +1,5 @@
 /**
- * The quorum protocol: a pure step over a state and an event.
+ * The quorum protocol (Raft) as a pure function of a state and an event.
  *
  * @module
  */
--- a/src/quorum/plan_members_change.ts
+++ b/src/quorum/plan_members_change.ts
@@ -1,5 +1,5 @@
 /**
- * The next single change of the quorum's membership.
+ * Plans membership changes towards the configured control VMs.
  *
  * @module
  */
@@ -7,24 +7,24 @@
 import { isCaughtUp } from "./plan_voter_change.ts";
 import type { Member, QuorumState } from "./types.ts";
 
-/** Which VMs are meant to hold a voter, and how far a learner may lag. */
+/** The VMs that run a voter, and how far a learner may lag. */
 export interface PlanMembersChangeOptions {
-  /** VMs that the settings name as control VMs. */
+  /** VMs configured as control VMs. */
   readonly controlVms: readonly string[];
-  /** Entries that a learner may lack and still become a voter. */
+  /** Maximum number of committed entries that a promoted learner may lack. */
   readonly maxLagEntries?: number;
 }
 
 /**
- * Plans the next change of membership, one member at a time.
+ * Plans the next membership change; each change affects one member.
  *
- * A learner that has caught up becomes a voter; an older replica of the same
- * VM, whose data folder is lost, is removed only after that. Only replicas of
- * the named control VMs become voters.
+ * A learner that has caught up is promoted to voter. An older replica of the
+ * same VM, whose data folder was lost, is only removed after that. Only replicas
+ * on the configured control VMs are promoted.
  *
  * @param state - The leader's state.
- * @param options - The control VMs and the lag that is allowed.
- * @returns The next members, or undefined where nothing is to change.
+ * @param options - The control VMs and the permitted lag.
+ * @returns The next members, or undefined if no change is due.
  * @throws Nothing.
  * @example
  * const members = planMembersChange(state, { controlVms: ["vm-1"] });
@@ -37,12 +37,14 @@
   if (state.role !== "leader") return undefined;
   if (state.membersIndex > state.commitIndex) return undefined;
   const { members } = state;
-  const ready = members.find((member) =>
+  const promotable = members.find((member) =>
     member.role === "learner" && controlVms.includes(member.vm) &&
     isCaughtUp(state, { id: member.id, maxLagEntries })
   );
-  if (ready) {
-    return members.map((m) => m.id === ready.id ? { ...m, role: "voter" } : m);
+  if (promotable) {
+    return members.map((m) =>
+      m.id === promotable.id ? { ...m, role: "voter" } : m
+    );
   }
   const replaced = members.find((member, at) =>
     member.id !== state.selfId &&
--- a/src/quorum/plan_voter_change.ts
+++ b/src/quorum/plan_voter_change.ts
@@ -1,30 +1,30 @@
 /**
- * The next single change of a membership that replaces lost voters by
- * whichever replicas are there.
+ * Plans membership changes that replace failed voters by any learners that are
+ * available.
  *
  * @module
  */
 
 import type { Member, QuorumState } from "./types.ts";
 
-/** How many voters there are to be, and who is silent. */
+/** The target number of voters, and which members are unresponsive. */
 export interface PlanVoterChangeOptions {
-  /** Voters that the cluster is meant to have. */
+  /** Target number of voters. */
   readonly voters: number;
-  /** Whether a member has not answered for too long. */
+  /** Whether a member has not answered within its timeout. */
   readonly isSilent: (id: string) => boolean;
-  /** Entries that a learner may lack and still become a voter. */
+  /** Maximum number of committed entries that a promoted learner may lack. */
   readonly maxLagEntries?: number;
 }
 
 /**
- * Plans the next change of membership, one member at a time: a learner that
- * has caught up becomes a voter where voters are missing or silent; a silent
- * voter goes only where enough others are left.
+ * Plans the next membership change; each change affects one member. A learner
+ * that has caught up is promoted if a voter is missing or unresponsive. An
+ * unresponsive voter is removed only while there are more voters than required.
  *
  * @param state - The leader's state.
- * @param options - How many voters there are to be, and who is silent.
- * @returns The next members, or undefined where nothing is to change.
+ * @param options - The target number of voters and the unresponsive members.
+ * @returns The next members, or undefined if no change is due.
  * @throws Nothing.
  * @example
  * const members = planVoterChange(state, { voters: 3, isSilent });
@@ -37,28 +37,32 @@
   if (state.role !== "leader") return undefined;
   if (state.membersIndex > state.commitIndex) return undefined;
   const { members, selfId } = state;
-  const present = members.filter((member) => member.role === "voter");
-  const silent = present.filter(({ id }) => id !== selfId && isSilent(id));
-  const ready = members.find(({ id, role }) =>
+  const currentVoters = members.filter((member) => member.role === "voter");
+  const unresponsive = currentVoters.filter(({ id }) =>
+    id !== selfId && isSilent(id)
+  );
+  const promotable = members.find(({ id, role }) =>
     role === "learner" && !isSilent(id) &&
     isCaughtUp(state, { id, maxLagEntries })
   );
-  const isWanted = present.length < voters ||
-    (silent.length > 0 && present.length <= voters);
-  if (ready && isWanted) {
-    return members.map((m) => m.id === ready.id ? { ...m, role: "voter" } : m);
+  const isVoterNeeded = currentVoters.length < voters ||
+    (unresponsive.length > 0 && currentVoters.length <= voters);
+  if (promotable && isVoterNeeded) {
+    return members.map((m) =>
+      m.id === promotable.id ? { ...m, role: "voter" } : m
+    );
   }
-  const superfluous = present.length > voters ? silent[0] : undefined;
-  if (!superfluous) return undefined;
-  return members.filter((member) => member.id !== superfluous.id);
+  const excess = currentVoters.length > voters ? unresponsive[0] : undefined;
+  if (!excess) return undefined;
+  return members.filter((member) => member.id !== excess.id);
 }
 
 /**
- * Tells whether a member holds almost all that is committed.
+ * Checks whether a member holds nearly all committed entries.
  *
  * @param state - The leader's state.
- * @param options - The member, and the entries that it may lack.
- * @returns Whether it has caught up.
+ * @param options - The member, and the number of entries that it may lack.
+ * @returns Whether the member has caught up.
  * @throws Nothing.
  * @example
  * isCaughtUp(state, { id: "vm-2.first", maxLagEntries: 64 });
--- a/src/quorum/plan_voter_change_test.ts
+++ b/src/quorum/plan_voter_change_test.ts
@@ -25,24 +25,24 @@
   };
 }
 
-function plan(members: readonly Member[], silent: readonly string[]) {
+function plan(members: readonly Member[], unresponsive: readonly string[]) {
   return planVoterChange(makeLeader(members), {
     voters: 3,
-    isSilent: (id) => silent.includes(id),
+    isSilent: (id) => unresponsive.includes(id),
   })?.map(({ id, role }) => `${id}:${role}`);
 }
 
 const THREE = ["a", "b", "c"].map((id) => makeMember(id));
 
-test("a learner stays one while all voters answer", () => {
+test("a learner is not promoted while all voters answer", () => {
   assert.is(plan([...THREE, makeMember("d", "learner")], []), undefined);
 });
 
-test("a silent voter stays while nobody can take its place", () => {
+test("an unresponsive voter stays while there is no learner to replace it", () => {
   assert.is(plan(THREE, ["c"]), undefined);
 });
 
-test("a learner that has caught up is promoted, then the silent voter goes", () => {
+test("a learner that has caught up is promoted, then the unresponsive voter is removed", () => {
   assert.equal(plan([...THREE, makeMember("d", "learner")], ["c"]), [
     "a:voter",
     "b:voter",
@@ -56,12 +56,12 @@
   ]);
 });
 
-test("a cluster with too few voters grows", () => {
+test("a learner is promoted in a cluster with too few voters", () => {
   const members = [makeMember("a"), makeMember("b", "learner")];
   assert.equal(plan(members, []), ["a:voter", "b:voter"]);
 });
 
-test("a learner that lags or is silent is not promoted", () => {
+test("a lagging or unresponsive learner is not promoted", () => {
   assert.is(
     plan([...THREE, makeMember("d", "learner")], ["c", "d"]),
     undefined,
--- a/src/quorum/quorum_error.ts
+++ b/src/quorum/quorum_error.ts
@@ -6,10 +6,10 @@
 
 import ModernError from "modern-errors";
 
-/** Base of all errors of the quorum layer. */
+/** Base class of the errors of the quorum layer. */
 export const QuorumError = ModernError.subclass("QuorumError");
 
-/** An invariant of the protocol does not hold: the process must stop. */
+/** An invariant of the protocol was violated; the process must stop. */
 export const QuorumInvariantError = QuorumError.subclass(
   "QuorumInvariantError",
 );
--- a/src/quorum/step_quorum.ts
+++ b/src/quorum/step_quorum.ts
@@ -1,5 +1,5 @@
 /**
- * The quorum protocol as one pure step.
+ * The quorum protocol as a pure step function.
  *
  * @module
  */
@@ -27,12 +27,12 @@
 import { hasLeaderLease } from "./_lib/reads.ts";
 import {
   advanceLeaderCommit,
+  advanceTransfer,
   broadcastAppend,
   followLeader,
   handleAppendRequest,
   handleAppendResponse,
-  handOver,
-  isCutOff,
+  hasLostQuorum,
 } from "./_lib/replication.ts";
 import type {
   LogEntryKind,
@@ -49,15 +49,15 @@
 } from "./types.ts";
 
 /**
- * Moves one replica by one event.
+ * Applies one event to the state of a replica.
  *
- * The state given in is left as it was. Effects are to be carried out in
- * order; a message marked `afterSync` waits until everything persisted before
- * it is on the disk. Source: the Raft protocol with pre-vote, leader lease,
- * read index, learners and membership changes of one member at a time.
+ * The input state is not modified. The caller carries the effects out in order;
+ * a message marked `afterSync` waits until everything persisted before it is on
+ * disk. Implements Raft with pre-vote, leader lease, read index, learners and
+ * single-member membership changes.
  *
  * @param state - The replica's state.
- * @param event - What happened.
+ * @param event - The event to apply.
  * @param context - Monotonic time in ms and a random number in [0, 1).
  * @returns The new state and the effects to carry out.
  * @throws Nothing.
@@ -106,7 +106,7 @@
   }
   const transferFailed = draft.transferDeadlineMs > 0 &&
     nowMs >= draft.transferDeadlineMs;
-  if (transferFailed || isCutOff(draft, nowMs)) {
+  if (transferFailed || hasLostQuorum(draft, nowMs)) {
     stepDown(draft);
     return;
   }
@@ -171,10 +171,10 @@
   event: { proposalId: number; members: readonly Member[] },
 ): void {
   const { proposalId, members } = event;
-  const settled = draft.membersIndex <= draft.commitIndex &&
+  const isSettled = draft.membersIndex <= draft.commitIndex &&
     getTermAt(draft, draft.commitIndex) === draft.term;
   if (
-    draft.role === "leader" && (!settled || !isSingleChange(draft, members))
+    draft.role === "leader" && (!isSettled || !isSingleChange(draft, members))
   ) {
     return refuse(draft, proposalId, "change_pending");
   }
@@ -212,7 +212,8 @@
   draft: Draft,
   event: { index: number; term: number },
 ): void {
-  // Entries that were cut since the write began are not what was synced.
+  // The entry may have been replaced since its write began; then the entry now
+  // at this index is not the one that was synced.
   if (getTermAt(draft, event.index) !== event.term) return;
   draft.syncedIndex = Math.max(draft.syncedIndex, event.index);
   if (draft.role === "leader") advanceLeaderCommit(draft);
@@ -260,5 +261,5 @@
   draft.transferTo = to;
   draft.transferDeadlineMs = draft.context.nowMs +
     draft.timing.electionTimeoutMs;
-  handOver(draft);
+  advanceTransfer(draft);
 }
--- a/src/quorum/types.ts
+++ b/src/quorum/types.ts
@@ -1,22 +1,22 @@
 /**
- * The values that the quorum protocol works on: its state, the events that
- * move it and the effects that it asks for. All are plain and immutable; the
- * protocol does no input or output itself.
+ * Types of the Raft protocol: the state of a replica, its input events and the
+ * effects that the caller carries out. All values are plain and immutable; the
+ * protocol does no I/O itself.
  *
  * @module
  */
 
-/** Names one replica: the VM and the identity of its data folder. */
+/** Identifies one replica: its VM and the identity of its data folder. */
 export type ReplicaId = string;
 
 /**
- * What a replica may do: voters count for the quorum, learners follow until
- * they are needed as voters, observers only follow: they keep nothing over a
- * restart.
+ * Membership role of a replica. Voters count towards the quorum; learners
+ * replicate the log and can be promoted to voters; observers replicate the log
+ * without persisting it and are never promoted.
  */
 export type ReplicaRole = "voter" | "learner" | "observer";
 
-/** A replica as the log's membership entries name it. */
+/** A replica as listed in the membership entries of the log. */
 export interface Member {
   readonly id: ReplicaId;
   readonly vm: string;
@@ -24,7 +24,7 @@
   readonly role: ReplicaRole;
 }
 
-/** What an entry of the log holds. */
+/** Kind of a log entry. */
 export type LogEntryKind = "command" | "members" | "noop";
 
 /** One entry of the replicated log; `body` is JSON text. */
@@ -35,101 +35,104 @@
   readonly body: string;
 }
 
-/** What a snapshot stands for: all entries up to and including `index`. */
+/** Metadata of a snapshot that covers all entries up to and including `index`. */
 export interface SnapshotMeta {
   readonly index: number;
   readonly term: number;
   readonly members: readonly Member[];
 }
 
-/** The part of the state that must be synced before an answer counts. */
+/** The state that must be on disk before the replica answers a message. */
 export interface HardState {
   readonly term: number;
   readonly votedFor: ReplicaId | null;
 }
 
-/** The protocol's times, all on the replica's own monotonic clock. */
+/** Durations of the protocol, measured on the replica's own monotonic clock. */
 export interface QuorumTiming {
-  /** Shortest silence of a leader, in ms, before a replica may vote again. */
+  /** Minimum time, in ms, without leader contact before a replica may vote. */
   readonly electionTimeoutMs: number;
-  /** Random ms, at most, added to the time before a replica stands itself. */
+  /** Upper bound, in ms, of the random delay added to the election timeout. */
   readonly electionJitterMs: number;
-  /** Time, in ms, between two rounds of a leader's heartbeats. */
+  /** Interval, in ms, between the heartbeat rounds of a leader. */
   readonly heartbeatIntervalMs: number;
-  /** Time, in ms, for which a round that a quorum answered is a lease. */
+  /** Lease, in ms, counted from the start of a round that a quorum answered. */
   readonly leaseMs: number;
 }
 
-/** The leader's view of one other replica. */
+/** Replication progress of another replica, as tracked by the leader. */
 export interface PeerProgress {
   readonly nextIndex: number;
   readonly matchIndex: number;
-  /** Leader's time, in ms, of the newest round that the replica answered. */
+  /** Leader's time, in ms, when the newest round it has answered was sent. */
   readonly ackedSentMs: number;
-  /** Leader's time, in ms, when a snapshot went out; 0 where none is on its way. */
+  /** Leader's time, in ms, when a snapshot was sent; 0 if none is in transit. */
   readonly snapshotSentMs: number;
 }
 
-/** A read that waits for proof that this replica still leads. */
+/** A read waiting for a quorum to confirm that this replica is the leader. */
 export interface PendingRead {
   readonly readId: number;
   readonly index: number;
   readonly askedMs: number;
 }
 
-/** The parts that a replica can play in a term. */
+/** Raft role of a replica within a term. */
 export type QuorumRole = "follower" | "precandidate" | "candidate" | "leader";
 
-/** The whole state of one replica. */
+/** Protocol state of one replica. */
 export interface QuorumState {
   readonly selfId: ReplicaId;
   readonly timing: QuorumTiming;
   readonly term: number;
   readonly votedFor: ReplicaId | null;
   readonly snapshot: SnapshotMeta;
-  /** Entries after the snapshot, without gaps. */
+  /** Contiguous entries that follow the snapshot. */
   readonly log: readonly LogEntry[];
-  /** Highest index known to be synced on this replica's own disk. */
+  /** Highest index known to be synced to this replica's own disk. */
   readonly syncedIndex: number;
   readonly commitIndex: number;
   readonly members: readonly Member[];
   readonly membersIndex: number;
   readonly role: QuorumRole;
   readonly leaderId: ReplicaId | null;
-  /** Last time, in ms, when a leader was heard, or when the replica started. */
+  /** Time, in ms, of the last leader contact, or of the start of the process. */
   readonly leaderContactMs: number;
-  /** Whether it has heard no leader since it started. */
-  readonly isLeaderUnheard: boolean;
+  /** Whether no leader has contacted the replica since it started. */
+  readonly hasNoLeaderContact: boolean;
   readonly electionDeadlineMs: number;
   readonly heartbeatDueMs: number;
   readonly votes: Readonly<Record<ReplicaId, boolean>>;
   readonly peers: Readonly<Record<ReplicaId, PeerProgress>>;
   readonly reads: readonly PendingRead[];
-  /** Set once this leader has asked another to take over in this term. */
+  /**
+   * Set once this leader has begun a leadership transfer in this term: the
+   * target may win an election while the lease still runs.
+   */
   readonly leaseForfeited: boolean;
   readonly transferDeadlineMs: number;
-  /** Who is to take over once it holds the whole log; null where nobody. */
+  /** Target of the leadership transfer, until its log has caught up. */
   readonly transferTo: ReplicaId | null;
 }
 
-/** Asks for a vote, or whether one would be given (`preVote`). */
+/** Requests a vote, or asks whether it would be granted (`preVote`). */
 export interface VoteRequestBody {
   readonly type: "voteRequest";
   readonly preVote: boolean;
-  /** Set when the leader itself asked the sender to take over. */
+  /** Set when the leader itself transfers leadership to the sender. */
   readonly transfer: boolean;
   readonly lastIndex: number;
   readonly lastTerm: number;
 }
 
-/** The answer to a vote request. */
+/** Response to a vote request. */
 export interface VoteResponseBody {
   readonly type: "voteResponse";
   readonly preVote: boolean;
   readonly granted: boolean;
 }
 
-/** Entries, or none as a heartbeat, from the leader. */
+/** Log entries from the leader; empty for a heartbeat. */
 export interface AppendRequestBody {
   readonly type: "appendRequest";
   readonly previousIndex: number;
@@ -139,16 +142,16 @@
   readonly entries: readonly LogEntry[];
 }
 
-/** The answer to an append request, sent once the entries are synced. */
+/** Response to an append request, sent once the entries are synced. */
 export interface AppendResponseBody {
   readonly type: "appendResponse";
   readonly success: boolean;
-  /** On success the last index that matches; else where to try next. */
+  /** Last matching index on success; otherwise a hint where to retry. */
   readonly matchIndex: number;
   readonly echoSentMs: number;
 }
 
-/** A whole snapshot, put together by the adapter from its chunks. */
+/** A complete snapshot, which the transport reassembles from chunks. */
 export interface SnapshotBody {
   readonly type: "snapshot";
   readonly meta: SnapshotMeta;
@@ -156,12 +159,12 @@
   readonly sentMs: number;
 }
 
-/** The leader asks the receiver to stand at once. */
+/** Tells the target of a leadership transfer to start an election at once. */
 export interface TimeoutNowBody {
   readonly type: "timeoutNow";
 }
 
-/** Any body of a message between replicas. */
+/** Body of a message between replicas. */
 export type QuorumMessageBody =
   | VoteRequestBody
   | VoteResponseBody
@@ -178,7 +181,7 @@
   readonly body: QuorumMessageBody;
 }
 
-/** What moves the state. */
+/** Input of a protocol step. */
 export type QuorumEvent =
   | { readonly type: "tick" }
   | { readonly type: "message"; readonly message: QuorumMessage }
@@ -197,15 +200,15 @@
   | { readonly type: "compact"; readonly meta: SnapshotMeta }
   | { readonly type: "transfer"; readonly to: ReplicaId };
 
-/** Why a proposal or a read was turned down. */
+/** Why a proposal was refused. */
 export type QuorumRefusal = "not_leader" | "change_pending" | "transferring";
 
-/** What the adapter has to carry out, in order. */
+/** Output of a protocol step; the caller carries the effects out in order. */
 export type QuorumEffect =
   | {
     readonly type: "persist";
     readonly hard: HardState;
-    /** Entries to write; the first one's index cuts what stood from there. */
+    /** Entries to write; they replace the log from the first one's index on. */
     readonly entries: readonly LogEntry[];
   }
   | {
@@ -217,7 +220,7 @@
   | {
     readonly type: "send";
     readonly message: QuorumMessage;
-    /** Only after all that was to be persisted before it is synced. */
+    /** Whether to send only once all earlier `persist` effects are synced. */
     readonly afterSync: boolean;
   }
   | { readonly type: "sendSnapshot"; readonly to: ReplicaId }
@@ -246,20 +249,20 @@
     readonly leaderId: ReplicaId | null;
   };
 
-/** The time and the randomness of one step. */
+/** Time and randomness for one step. */
 export interface StepContext {
   /** Monotonic time, in ms. */
   readonly nowMs: number;
   /**
-   * When its machine was last found to have been suspended, in ms of the same
-   * clock; a lease from before then is none. Absent where it never was.
+   * Monotonic time, in ms, when the machine last resumed from a suspension.
+   * Leases that began before it are invalid. Absent if it was never suspended.
    */
   readonly wokeMs?: number;
-  /** A number from 0 up to, not including, 1. */
+  /** A number in [0, 1). */
   readonly random: number;
 }
 
-/** What one step gives back. */
+/** Result of one step. */
 export interface StepResult {
   readonly state: QuorumState;
   readonly effects: readonly QuorumEffect[];
