--- a/src/storage/constants.ts
+++ b/src/storage/constants.ts
@@ -1,29 +1,32 @@
 /**
- * The storage format's constants.
+ * Constants of the storage format.
  *
  * @module
  */
 
-/** Version of the format; a folder of another version is refused. */
+/** Format version; a data folder of another version is rejected. */
 export const FORMAT_VERSION = 1;
 
 /** First four bytes of each frame: "CLF1". */
 export const FRAME_MAGIC = 0x434c4631;
 
-/** Bytes before a frame's payload: magic, length, and the payload's checksum. */
+/** Size of a frame header, in bytes: magic, payload length and checksum. */
 export const FRAME_HEADER_BYTES = 12;
 
-/** Largest payload of one frame, in bytes; a longer length is damage. */
+/** Maximum payload of a frame, in bytes; a longer length means corruption. */
 export const MAX_FRAME_BYTES = 256 * 1024 * 1024;
 
-/** Ms between two tries to write while the disk is full. */
+/** Interval, in ms, between write attempts while the disk is full. */
 export const DISK_FULL_RETRY_MS = 1_000;
 
-/** File of a data folder's identity. */
+/** Name of the identity file in a data folder. */
 export const IDENTITY_FILE = "identity";
 
-/** File of the newest snapshot. */
+/** Name of the file with the newest snapshot. */
 export const SNAPSHOT_FILE = "snapshot";
 
-/** Log files: this and a number, the highest counts. */
+/**
+ * Prefix of the log files, followed by a sequence number; the file with the
+ * highest number is the current one.
+ */
 export const LOG_PREFIX = "log-";
--- a/src/storage/create_memory_storage.ts
+++ b/src/storage/create_memory_storage.ts
@@ -1,5 +1,6 @@
 /**
- * A replica's storage where there is no disk: it ends with its process.
+ * In-memory storage for a replica without a disk; it is lost when the process
+ * ends.
  *
  * @module
  */
@@ -9,18 +10,18 @@
 import type { QuorumStorage } from "./open_quorum_storage.ts";
 import type { StoredSnapshot } from "./read_stored.ts";
 
-/** Whose storage it is. */
+/** The fleet and the VM that the storage belongs to. */
 export interface CreateMemoryStorageOptions {
   readonly fleetId: string;
   readonly vm: string;
 }
 
 /**
- * Makes the storage of a replica that never votes, with an identity of its own
- * at each start: nothing that it confirms may be counted on.
+ * Creates the storage of a replica that never votes. The replica gets a new id
+ * at each start, since nothing that it acknowledges is durable.
  *
- * @param options - Whose storage it is.
- * @returns The storage, empty.
+ * @param options - The fleet and the VM that the storage belongs to.
+ * @returns The empty storage.
  * @throws Nothing.
  * @example
  * const storage = createMemoryStorage({ fleetId, vm });
--- a/src/storage/files.ts
+++ b/src/storage/files.ts
@@ -1,5 +1,5 @@
 /**
- * Files that last: read, replaced, synced.
+ * Reading, atomic replacement and syncing of files.
  *
  * @module
  */
@@ -9,15 +9,17 @@
 import { join } from "node:path";
 
 /**
- * Reads a file.
+ * Reads a file that may not exist.
  *
- * @param path - The file.
- * @returns Its bytes, or undefined where there is none.
- * @throws {Error} Where it is there and can't be read.
+ * @param path - The path of the file.
+ * @returns Its bytes, or undefined if it does not exist.
+ * @throws {Error} If the file exists but can't be read.
  * @example
  * const bytes = await readFileIfAny(path);
  */
-export async function readFileIfAny(path: string): Promise<Buffer | undefined> {
+export async function readFileIfExists(
+  path: string,
+): Promise<Buffer | undefined> {
   try {
     return await readFile(path);
   } catch (error) {
@@ -27,12 +29,13 @@
 }
 
 /**
- * Replaces a file: written new, synced, renamed, the folder synced.
+ * Replaces a file atomically: writes and syncs a temporary file, renames it and
+ * syncs the folder.
  *
- * @param path - The file.
+ * @param path - The path of the file.
  * @param bytes - Its new content.
  * @returns Nothing.
- * @throws {Error} Where the disk refuses.
+ * @throws {Error} If a file operation fails.
  * @example
  * await replaceFile(path, bytes);
  */
@@ -50,11 +53,11 @@
 }
 
 /**
- * Syncs a folder, so that its files' names last.
+ * Syncs a folder, so that created and renamed files survive a crash.
  *
- * @param folder - The folder.
+ * @param folder - The path of the folder.
  * @returns Nothing.
- * @throws {Error} Where the disk refuses.
+ * @throws {Error} If a file operation fails.
  * @example
  * await syncFolder(folder);
  */
--- a/src/storage/frame.ts
+++ b/src/storage/frame.ts
@@ -1,5 +1,5 @@
 /**
- * Checksummed frames: magic, payload length, CRC-32 of length and payload,
+ * Checksummed frames: magic, payload length, CRC-32 over length and payload,
  * then the payload. All numbers are big-endian.
  *
  * @module
@@ -14,19 +14,19 @@
 } from "./constants.ts";
 import { StorageDamageError } from "./storage_error.ts";
 
-/** What a scan of a file found. */
+/** Result of scanning a file for frames. */
 export interface FrameScan {
   readonly payloads: readonly string[];
-  /** Bytes up to the end of the last whole frame. */
-  readonly wholeBytes: number;
-  /** Bytes of a torn tail behind it. */
+  /** Size, in bytes, of the valid frames at the start of the file. */
+  readonly validBytes: number;
+  /** Size, in bytes, of the torn tail that follows them. */
   readonly tornBytes: number;
 }
 
 /**
  * Encodes one frame.
  *
- * @param payload - Text to keep.
+ * @param payload - The text to encode.
  * @returns The frame's bytes.
  * @throws Nothing.
  * @example
@@ -44,13 +44,14 @@
 /**
  * Reads all frames of a file.
  *
- * A bad frame behind which no whole frame follows is a torn tail, left by a
- * write that was cut off before its sync. Anything else is damage.
+ * An invalid frame that no valid frame follows is a torn tail, left by a write
+ * that was interrupted before its sync. Anything else is corruption.
  *
  * @param bytes - The file's content.
- * @param options - The file's name, for messages.
- * @returns The payloads and how much of the file is whole.
- * @throws {StorageDamageError} Naming the file and the offset.
+ * @param options - The file's name, for error messages.
+ * @returns The payloads and the sizes of the valid part and the torn tail.
+ * @throws {StorageDamageError} If the file is corrupt; the message names the
+ * file and the offset.
  * @example
  * const { payloads } = scanFrames(bytes, { file: "log-1" });
  */
@@ -66,12 +67,12 @@
     payloads.push(payload.toString("utf8"));
     offset += FRAME_HEADER_BYTES + payload.length;
   }
-  if (offset < bytes.length && hasLaterFrame(bytes, offset + 1)) {
+  if (offset < bytes.length && hasValidFrameAfter(bytes, offset + 1)) {
     throw new StorageDamageError(
-      `File ${options.file} is damaged at offset ${offset}: whole frames follow a bad one`,
+      `File ${options.file} is damaged at offset ${offset}: valid frames follow an invalid one`,
     );
   }
-  return { payloads, wholeBytes: offset, tornBytes: bytes.length - offset };
+  return { payloads, validBytes: offset, tornBytes: bytes.length - offset };
 }
 
 function getChecksum(header: Buffer, body: Buffer): number {
@@ -79,19 +80,19 @@
 }
 
 function readFrame(bytes: Buffer, offset: number): Buffer | undefined {
-  const bodyAt = offset + FRAME_HEADER_BYTES;
-  if (bodyAt > bytes.length) return undefined;
+  const bodyOffset = offset + FRAME_HEADER_BYTES;
+  if (bodyOffset > bytes.length) return undefined;
   if (bytes.readUInt32BE(offset) !== FRAME_MAGIC) return undefined;
   const sizeBytes = bytes.readUInt32BE(offset + 4);
   if (sizeBytes > MAX_FRAME_BYTES) return undefined;
-  if (bodyAt + sizeBytes > bytes.length) return undefined;
-  const body = bytes.subarray(bodyAt, bodyAt + sizeBytes);
-  const header = bytes.subarray(offset, bodyAt);
+  if (bodyOffset + sizeBytes > bytes.length) return undefined;
+  const body = bytes.subarray(bodyOffset, bodyOffset + sizeBytes);
+  const header = bytes.subarray(offset, bodyOffset);
   if (getChecksum(header, body) !== header.readUInt32BE(8)) return undefined;
   return body;
 }
 
-function hasLaterFrame(bytes: Buffer, from: number): boolean {
+function hasValidFrameAfter(bytes: Buffer, from: number): boolean {
   const magic = Buffer.alloc(4);
   magic.writeUInt32BE(FRAME_MAGIC);
   let at = bytes.indexOf(magic, from);
--- a/src/storage/identity.ts
+++ b/src/storage/identity.ts
@@ -1,5 +1,5 @@
 /**
- * Whose a data folder is.
+ * The identity of a data folder: the replica that it belongs to.
  *
  * @module
  */
@@ -9,11 +9,11 @@
 import { join } from "node:path";
 import type { Member } from "../quorum/index.ts";
 import { FORMAT_VERSION, IDENTITY_FILE, SNAPSHOT_FILE } from "./constants.ts";
-import { readFileIfAny, replaceFile } from "./files.ts";
+import { readFileIfExists, replaceFile } from "./files.ts";
 import { encodeFrame, scanFrames } from "./frame.ts";
 import { StorageDamageError, StorageOwnerError } from "./storage_error.ts";
 
-/** Who a data folder belongs to. */
+/** The fleet, VM, replica and cluster that a data folder belongs to. */
 export interface StorageIdentity {
   readonly formatVersion: number;
   readonly fleetId: string;
@@ -23,41 +23,41 @@
   readonly clusterId: string;
 }
 
-/** How a cluster is formed. */
+/** Options for forming a new cluster. */
 export interface FormOptions {
-  /** Where the first replica is reached. */
+  /** Address of this replica. */
   readonly address: string;
   readonly clusterId: string;
   /**
-   * The first voters; by default this replica alone. Where several replicas
-   * form a cluster together, all are given the same list.
+   * The initial members; by default this replica as the only voter. If several
+   * replicas form a cluster together, all must be given the same list.
    */
   readonly members?: readonly Member[];
 }
 
-/** Whose folder it is meant to be. */
+/** The data folder, and the fleet and VM that it must belong to. */
 export interface OpenQuorumStorageOptions {
   readonly folder: string;
   readonly fleetId: string;
   readonly vm: string;
-  /** Set to form a new cluster of this replica alone in a new folder. */
+  /** Set to form a new cluster if the folder belongs to none yet. */
   readonly form?: FormOptions;
   /**
-   * Whether the folder is locked against other processes; set to false only
-   * where nothing else can reach it.
+   * Whether to lock the folder against other processes, as by default. Set to
+   * false only if no other process can open the folder.
    */
   readonly isLocked?: boolean;
-  /** Makes the identity of a new folder; by default random. */
+  /** Generates the replica id for a new folder; by default a random one. */
   readonly makeReplicaId?: (vm: string) => string;
 }
 
 /**
- * Reads the identity of a data folder, making one where it is new.
+ * Reads the identity of a data folder, or writes one to a new folder.
  *
  * @param options - The folder, and the fleet and VM that it must belong to.
  * @returns The identity.
- * @throws {StorageOwnerError | StorageDamageError} For another's folder, or a
- * damaged file.
+ * @throws {StorageOwnerError | StorageDamageError} If the folder belongs to
+ * another fleet or VM, or the file is corrupt.
  * @example
  * const identity = await readIdentity(options);
  */
@@ -67,7 +67,7 @@
   const { folder, fleetId, vm, makeReplicaId: makeId = makeReplicaId } =
     options;
   const path = join(folder, IDENTITY_FILE);
-  const bytes = await readFileIfAny(path);
+  const bytes = await readFileIfExists(path);
   if (bytes === undefined) {
     const identity = {
       formatVersion: FORMAT_VERSION,
@@ -99,7 +99,7 @@
   const identity = JSON.parse(payloads[0]) as StorageIdentity;
   if (identity.formatVersion !== FORMAT_VERSION) {
     throw new StorageOwnerError(
-      `File ${path} has format version ${identity.formatVersion}, this program writes ${FORMAT_VERSION}`,
+      `File ${path} has format version ${identity.formatVersion}, but this program supports only version ${FORMAT_VERSION}`,
     );
   }
   return identity;
@@ -111,7 +111,7 @@
  * @param folder - The folder.
  * @param identity - The identity.
  * @returns Nothing.
- * @throws {Error} Where the disk refuses.
+ * @throws {Error} If a file operation fails.
  * @example
  * await writeIdentity(folder, identity);
  */
@@ -124,10 +124,10 @@
 }
 
 /**
- * Makes the id of a replica that starts with nothing.
+ * Generates the id of a new replica.
  *
- * @param vm - The VM on which it runs.
- * @returns An id that no other replica has.
+ * @param vm - The VM on which the replica runs.
+ * @returns A unique id: the VM and a random suffix.
  * @throws Nothing.
  * @example
  * makeReplicaId("vm-1"); // "vm-1.9f0c2a417b3e"
@@ -137,14 +137,16 @@
 }
 
 /**
- * Makes a new folder the first of a cluster of its own.
+ * Forms a new cluster in a data folder.
  *
- * The snapshot goes first: a folder without a cluster's id forms it again.
+ * The snapshot is written before the identity: if the process crashes in
+ * between, the identity has no cluster id yet and the next start forms the
+ * cluster again.
  *
- * @param identity - The folder's identity, without a cluster.
- * @param options - The folder, and how the cluster is formed.
- * @returns The identity with its cluster.
- * @throws {Error} Where the disk refuses.
+ * @param identity - The folder's identity, without a cluster id.
+ * @param options - The folder, and the options of the new cluster.
+ * @returns The identity with the cluster id.
+ * @throws {Error} If a file operation fails.
  * @example
  * const formed = await formCluster(identity, { folder, form });
  */
--- a/src/storage/index.ts
+++ b/src/storage/index.ts
@@ -1,5 +1,5 @@
 /**
- * Durable state: checksummed frames, the log, snapshots, the folder's lock.
+ * Durable state: checksummed frames, log, snapshots and the data folder's lock.
  *
  * @module
  */
--- a/src/storage/lock_data_folder.ts
+++ b/src/storage/lock_data_folder.ts
@@ -1,5 +1,5 @@
 /**
- * A lock that keeps two processes off one data folder.
+ * A lock that prevents two processes from using the same data folder.
  *
  * @module
  */
@@ -10,14 +10,14 @@
 import { StorageOwnerError } from "./storage_error.ts";
 
 /**
- * Takes the lock of a data folder.
+ * Acquires the lock of a data folder.
  *
- * The lock is an abstract Unix socket named by the folder's path: the kernel
- * lets one process hold it and frees it when that process ends, however it
- * ends, so no stale lock is ever left behind.
+ * The lock is an abstract Unix socket whose name is derived from the folder's
+ * path. The kernel lets only one process bind it and releases it when that
+ * process ends for any reason, so that no stale lock can remain.
  *
  * @param folder - The data folder; it must exist.
- * @returns The lock; disposing of it frees it.
+ * @returns The lock; disposing of it releases it.
  * @throws {StorageOwnerError} When another process holds the lock.
  * @example
  * await using lock = await lockDataFolder("data");
--- a/src/storage/open_quorum_storage.ts
+++ b/src/storage/open_quorum_storage.ts
@@ -1,5 +1,5 @@
 /**
- * The durable state of one replica: its identity, log and snapshot.
+ * Durable storage of one replica: identity, log and snapshot.
  *
  * @module
  */
@@ -31,39 +31,39 @@
 export interface QuorumStorage extends AsyncDisposable {
   readonly identity: StorageIdentity;
   readonly stored: StoredState;
-  /** Bytes of the log file. */
+  /** Size of the log file, in bytes. */
   getLogBytes(): number;
-  /** Writes records and syncs them; nothing counts before it returns. */
+  /** Appends records to the log; they are durable once the promise resolves. */
   append(records: readonly PersistRecord[]): Promise<void>;
-  /** Writes a snapshot, then a new log that holds only what follows it. */
+  /** Writes a snapshot, then a new log with only the entries that follow it. */
   saveSnapshot(options: SaveSnapshotOptions): Promise<void>;
-  /** Reads the newest snapshot. */
   readSnapshot(): Promise<StoredSnapshot | undefined>;
-  /** Sets the cluster's id once it is known. */
+  /** Persists the cluster id once the replica has joined a cluster. */
   setClusterId(clusterId: string): Promise<void>;
 }
 
-/** A term, a vote and the entries to write with them. */
+/** A term and a vote, with the log entries to write along with them. */
 export interface PersistRecord {
   readonly hard: HardState;
   readonly entries: readonly LogEntry[];
 }
 
-/** A snapshot and the log that remains after it. */
+/** A snapshot, and the log that follows it. */
 export interface SaveSnapshotOptions {
   readonly snapshot: StoredSnapshot;
   readonly hard: HardState;
-  /** Entries that follow the snapshot. */
+  /** Log entries that follow the snapshot. */
   readonly entries: readonly LogEntry[];
 }
 
 /**
- * Opens a data folder, making it where it is new.
+ * Opens a data folder, creating it if necessary.
  *
  * @param options - The folder, and the fleet and VM that it must belong to.
- * @returns The storage with what it held; disposing of it closes the files.
- * @throws {StorageOwnerError} For a folder of another VM or fleet, or in use.
- * @throws {StorageDamageError} For damage other than a torn tail.
+ * @returns The storage with its stored state; disposing of it closes the files.
+ * @throws {StorageOwnerError} If the folder belongs to another VM or fleet, or
+ * is in use.
+ * @throws {StorageDamageError} If a file is corrupt other than by a torn tail.
  * @example
  * await using storage = await openQuorumStorage({
  *   folder: "data",
@@ -98,7 +98,7 @@
   }
   const stored = await readStored(folder);
   let sequence = stored.sequence;
-  let log = await openLog(folder, sequence, stored.wholeBytes);
+  let log = await openLog(folder, sequence, stored.validBytes);
 
   async function append(records: readonly PersistRecord[]): Promise<void> {
     const frames = records.map((record) => encodeFrame(encodeRecord(record)));
--- a/src/storage/open_quorum_storage_test.ts
+++ b/src/storage/open_quorum_storage_test.ts
@@ -31,7 +31,7 @@
   }
 }
 
-async function findRefusal(folder: string, as = owner): Promise<string> {
+async function getOpenError(folder: string, as = owner): Promise<string> {
   try {
     await using _storage = await openQuorumStorage({ folder, ...as });
     return "";
@@ -47,11 +47,11 @@
     assert.equal(storage.stored.log, []);
     replicaId = storage.identity.replicaId;
   }
-  await using again = await openQuorumStorage({ folder, ...owner });
-  assert.is(again.identity.replicaId, replicaId);
+  await using reopened = await openQuorumStorage({ folder, ...owner });
+  assert.is(reopened.identity.replicaId, replicaId);
 });
 
-test("what was appended is there again, later entries replace earlier", async ({ folder }) => {
+test("appended entries are read back, and later entries replace earlier ones", async ({ folder }) => {
   await write(folder, [1, 2, 3]);
   {
     await using storage = await openQuorumStorage({ folder, ...owner });
@@ -63,7 +63,7 @@
   assert.equal(storage.stored.hard, hard);
 });
 
-test("a torn tail is cut off at any byte, and what was synced stays", async ({ folder }) => {
+test("a tail torn at any byte is cut off, and synced entries stay", async ({ folder }) => {
   await write(folder, [1, 2]);
   const path = join(folder, "log-1");
   const whole = await readFile(path);
@@ -76,14 +76,14 @@
   }
 });
 
-test("zeros behind the last record are a torn tail", async ({ folder }) => {
+test("zeros after the last record are a torn tail", async ({ folder }) => {
   await write(folder, [1]);
   await appendFile(join(folder, "log-1"), Buffer.alloc(4_096));
   await using storage = await openQuorumStorage({ folder, ...owner });
   assert.is(storage.stored.log.length, 1);
 });
 
-test("any other damage is refused, with file and offset", async ({ folder }) => {
+test("any other corruption is rejected with file and offset", async ({ folder }) => {
   await write(folder, [1, 2, 3]);
   const path = join(folder, "log-1");
   const bytes = await readFile(path);
@@ -92,13 +92,13 @@
     const damaged = Buffer.from(bytes);
     damaged[at] ^= 0x40;
     await writeFile(path, damaged);
-    const refusal = await findRefusal(folder);
-    assert.match(refusal, /log-1 is damaged at offset \d+/);
-    assert.match(refusal, new RegExp(`offset ${at < first ? 0 : first}\\b`));
+    const message = await getOpenError(folder);
+    assert.match(message, /log-1 is damaged at offset \d+/);
+    assert.match(message, new RegExp(`offset ${at < first ? 0 : first}\\b`));
   }
 });
 
-test("a damaged snapshot is refused", async ({ folder }) => {
+test("a corrupt snapshot is rejected", async ({ folder }) => {
   const meta = { index: 5, term: 1, members: [] };
   {
     await using storage = await openQuorumStorage({ folder, ...owner });
@@ -112,7 +112,7 @@
   const bytes = await readFile(path);
   bytes[bytes.length - 1] ^= 1;
   await writeFile(path, bytes);
-  assert.match(await findRefusal(folder), /snapshot is damaged/);
+  assert.match(await getOpenError(folder), /snapshot is damaged/);
 });
 
 test("a snapshot replaces the log that it covers", async ({ folder }) => {
@@ -133,8 +133,9 @@
   assert.equal(storage.stored.log.map((entry) => entry.index), [3, 4]);
 });
 
-// A crash between a received snapshot and the new log leaves the old log.
-test("a log that disagrees with a newer snapshot does not count", async ({ folder }) => {
+// A crash after a received snapshot is written, but before the new log is,
+// leaves the old log.
+test("a log that conflicts with a newer snapshot is discarded", async ({ folder }) => {
   await write(folder, [1, 2, 3]);
   const meta = JSON.stringify({ index: 2, term: 9, members: [] });
   const bytes = Buffer.concat([encodeFrame(meta), encodeFrame("newer")]);
@@ -143,23 +144,23 @@
   assert.equal(storage.stored.log, []);
 });
 
-test("a folder of another VM or fleet, or in use, is refused", async ({ folder }) => {
+test("a folder of another VM or fleet, or in use, is rejected", async ({ folder }) => {
   {
     await using _storage = await openQuorumStorage({ folder, ...owner });
-    assert.match(await findRefusal(folder), /in use/);
+    assert.match(await getOpenError(folder), /in use/);
   }
   assert.match(
-    await findRefusal(folder, { ...owner, vm: "vm-2" }),
+    await getOpenError(folder, { ...owner, vm: "vm-2" }),
     /belongs to vm vm-1/,
   );
   assert.match(
-    await findRefusal(folder, { ...owner, fleetId: "other" }),
+    await getOpenError(folder, { ...owner, fleetId: "other" }),
     /belongs to fleetId trial/,
   );
-  assert.is(await findRefusal(folder), "");
+  assert.is(await getOpenError(folder), "");
 });
 
-test("forming twice keeps the first cluster", async ({ folder }) => {
+test("forming a cluster twice keeps the first one", async ({ folder }) => {
   const form = (clusterId: string) => ({ address: "a:1", clusterId });
   {
     await using first = await openQuorumStorage({
--- a/src/storage/read_stored.ts
+++ b/src/storage/read_stored.ts
@@ -1,5 +1,5 @@
 /**
- * Reads what a data folder holds: snapshot, term, vote and log.
+ * Reads the state stored in a data folder: snapshot, term, vote and log.
  *
  * @module
  */
@@ -9,26 +9,26 @@
 import { join } from "node:path";
 import type { HardState, LogEntry, SnapshotMeta } from "../quorum/index.ts";
 import { LOG_PREFIX, SNAPSHOT_FILE } from "./constants.ts";
-import { readFileIfAny } from "./files.ts";
+import { readFileIfExists } from "./files.ts";
 import { scanFrames } from "./frame.ts";
 import { StorageDamageError } from "./storage_error.ts";
 
-/** A snapshot and what it stands for. */
+/** A snapshot with its metadata. */
 export interface StoredSnapshot {
   readonly meta: SnapshotMeta;
   readonly data: string;
 }
 
-/** What a data folder held at start. */
+/** The state read from a data folder at startup. */
 export interface StoredState {
   readonly hard: HardState;
   readonly snapshot: StoredSnapshot | undefined;
   readonly log: readonly LogEntry[];
-  /** Bytes of a torn tail that were cut off the log. */
+  /** Size, in bytes, of the torn tail that was cut off the log. */
   readonly tornBytes: number;
 }
 
-/** One record of the log file. */
+/** A record of the log file. */
 export type LogRecord =
   | { readonly kind: "hard"; readonly hard: HardState }
   | {
@@ -38,18 +38,19 @@
   };
 
 /**
- * Reads what a data folder holds.
+ * Reads the state stored in a data folder.
  *
  * @param folder - The folder.
- * @returns The state, the log file's number and how much of it is whole.
- * @throws {StorageDamageError} For damage other than a torn tail.
+ * @returns The state, with the sequence number and the valid size of the log
+ * file.
+ * @throws {StorageDamageError} If a file is corrupt other than by a torn tail.
  * @example
  * const { state } = await readStored(folder);
  */
 export async function readStored(folder: string): Promise<{
   state: StoredState;
   sequence: number;
-  wholeBytes: number;
+  validBytes: number;
 }> {
   const snapshot = await readSnapshotFile(folder);
   const names = await readdir(folder);
@@ -58,12 +59,12 @@
     .map((name) => Number(name.slice(LOG_PREFIX.length)));
   const sequence = Math.max(1, ...sequences);
   const path = join(folder, LOG_PREFIX + sequence);
-  const bytes = await readFileIfAny(path) ?? Buffer.alloc(0);
+  const bytes = await readFileIfExists(path) ?? Buffer.alloc(0);
   const scan = scanFrames(bytes, { file: path });
   const records = scan.payloads.map((text) => JSON.parse(text) as LogRecord);
   const { hard, log } = replayRecords(records, { path, snapshot });
   const state = { hard, snapshot, log, tornBytes: scan.tornBytes };
-  return { state, sequence, wholeBytes: scan.wholeBytes };
+  return { state, sequence, validBytes: scan.validBytes };
 }
 
 function replayRecords(
@@ -78,19 +79,19 @@
     const from = record.entries[0].index;
     log = [...log.filter((entry) => entry.index < from), ...record.entries];
   }
-  return { hard, log: dropCovered(log, options) };
+  return { hard, log: dropCompacted(log, options) };
 }
 
-function dropCovered(
+function dropCompacted(
   log: readonly LogEntry[],
   options: { path: string; snapshot: StoredSnapshot | undefined },
 ): LogEntry[] {
   const meta = options.snapshot?.meta;
   const baseIndex = meta?.index ?? 0;
-  const atBase = log.find((entry) => entry.index === baseIndex);
-  // A log that disagrees with a newer snapshot was left by a crash before the
-  // new log was in place: nothing in it counts.
-  if (meta && atBase && atBase.term !== meta.term) return [];
+  const baseEntry = log.find((entry) => entry.index === baseIndex);
+  // A log that conflicts with a newer snapshot is left by a crash between
+  // writing the snapshot and its new log: discard all of its entries.
+  if (meta && baseEntry && baseEntry.term !== meta.term) return [];
   const kept = log.filter((entry) => entry.index > baseIndex);
   if (kept.length === 0) return kept;
   if (kept[0].index !== baseIndex + 1) {
@@ -107,8 +108,8 @@
  * Reads the snapshot of a data folder.
  *
  * @param folder - The folder.
- * @returns The snapshot, or undefined where there is none.
- * @throws {StorageDamageError} Where it is damaged.
+ * @returns The snapshot, or undefined if there is none.
+ * @throws {StorageDamageError} If the snapshot is corrupt.
  * @example
  * const snapshot = await readSnapshotFile(folder);
  */
@@ -116,12 +117,12 @@
   folder: string,
 ): Promise<StoredSnapshot | undefined> {
   const path = join(folder, SNAPSHOT_FILE);
-  const bytes = await readFileIfAny(path);
+  const bytes = await readFileIfExists(path);
   if (bytes === undefined) return undefined;
-  const { payloads, wholeBytes, tornBytes } = scanFrames(bytes, { file: path });
+  const { payloads, validBytes, tornBytes } = scanFrames(bytes, { file: path });
   if (payloads.length !== 2 || tornBytes > 0) {
     throw new StorageDamageError(
-      `File ${path} is damaged at offset ${wholeBytes}`,
+      `File ${path} is damaged at offset ${validBytes}`,
     );
   }
   return { meta: JSON.parse(payloads[0]) as SnapshotMeta, data: payloads[1] };
--- a/src/storage/storage_error.ts
+++ b/src/storage/storage_error.ts
@@ -6,11 +6,11 @@
 
 import ModernError from "modern-errors";
 
-/** Base of all errors of the storage layer. */
+/** Base class of the errors of the storage layer. */
 export const StorageError = ModernError.subclass("StorageError");
 
-/** A file is damaged other than by a torn tail. */
+/** A file is corrupt other than by a torn tail. */
 export const StorageDamageError = StorageError.subclass("StorageDamageError");
 
-/** The data folder belongs to another VM or fleet, or is in use. */
+/** The data folder is of another VM, fleet or format version, or in use. */
 export const StorageOwnerError = StorageError.subclass("StorageOwnerError");
