--- a/src/membership/index.ts
+++ b/src/membership/index.ts
@@ -1,5 +1,6 @@
 /**
- * Membership: leases, incarnations, the platform's list, damped flapping.
+ * Membership of the entries: leases, incarnations, the platform's VM list and
+ * flap damping.
  *
  * @module
  */
--- a/src/membership/live_change.ts
+++ b/src/membership/live_change.ts
@@ -1,19 +1,19 @@
 /**
- * Changes of the live state: what is sent instead of the whole.
+ * Incremental changes of the live state.
  *
  * @module
  */
 
 import type { LiveChange, LiveEntry, LiveState } from "../model/index.ts";
 
-/** The live state before anything was heard. */
+/** The live state before any change was received. */
 export const EMPTY_LIVE_STATE: LiveState = { entries: [], vms: {} };
 
 /**
- * Gets what has changed between two live states.
+ * Computes the change from one live state to another.
  *
- * @param before - What was last told; undefined for the whole state.
- * @param after - What holds now.
+ * @param before - The state last published; undefined for a full change.
+ * @param after - The current state.
  * @returns The change.
  * @throws Nothing.
  * @example
@@ -24,27 +24,27 @@
   after: LiveState,
 ): LiveChange {
   const { entries: oldEntries, vms: oldVms } = before ?? EMPTY_LIVE_STATE;
-  const known = new Map(oldEntries.map((entry) => [entry.vm, entry]));
+  const previous = new Map(oldEntries.map((entry) => [entry.vm, entry]));
   const present = new Set(after.entries.map((entry) => entry.vm));
   const vms = Object.entries(after.vms)
     .filter(([vm, state]) => oldVms[vm] !== state);
   return {
     full: before === undefined,
     entries: after.entries.filter((entry) =>
-      !isSame(entry, known.get(entry.vm))
+      !isSameEntry(entry, previous.get(entry.vm))
     ),
-    goneEntries: [...known.keys()].filter((vm) => !present.has(vm)),
+    goneEntries: [...previous.keys()].filter((vm) => !present.has(vm)),
     vms: Object.fromEntries(vms),
     liveVms: Object.keys(oldVms).filter((vm) => after.vms[vm] === undefined),
   };
 }
 
 /**
- * Takes a change into a live state.
+ * Applies a change to a live state.
  *
- * @param state - The state that the change follows on.
+ * @param state - The state to which the change applies.
  * @param change - The change.
- * @returns The state after it.
+ * @returns The updated state.
  * @throws Nothing.
  * @example
  * const next = takeLiveChange(state, change);
@@ -62,7 +62,7 @@
   return { entries: [...entries.values()], vms };
 }
 
-function isSame(a: LiveEntry, b: LiveEntry | undefined): boolean {
+function isSameEntry(a: LiveEntry, b: LiveEntry | undefined): boolean {
   return b !== undefined && a.place === b.place && a.address === b.address &&
     a.leaving === b.leaving && a.overloaded === b.overloaded;
 }
--- a/src/membership/live_change_test.ts
+++ b/src/membership/live_change_test.ts
@@ -28,7 +28,7 @@
   return { entries, vms: { ...state.vms } };
 }
 
-test("nothing has changed in a state that is the same", () => {
+test("the change between equal states is empty", () => {
   const { entries, goneEntries, vms } = getLiveChange(
     EMPTY_LIVE_STATE,
     EMPTY_LIVE_STATE,
@@ -36,15 +36,15 @@
   assert.equal([entries, goneEntries, vms], [[], [], {}]);
 });
 
-test("the changes from one state to the next lead there", () => {
+test("applying the change between two states yields the second one", () => {
   fc.assert(
     fc.property(fc.array(liveState, { maxLength: 6 }), (states) => {
-      let told: LiveState | undefined;
-      let held = EMPTY_LIVE_STATE;
+      let published: LiveState | undefined;
+      let received = EMPTY_LIVE_STATE;
       for (const state of states) {
-        held = takeLiveChange(held, getLiveChange(told, state));
-        told = state;
-        assert.equal(sort(held), sort(state));
+        received = takeLiveChange(received, getLiveChange(published, state));
+        published = state;
+        assert.equal(sort(received), sort(state));
       }
     }),
     { seed: 5 },
--- a/src/membership/step_membership.ts
+++ b/src/membership/step_membership.ts
@@ -1,5 +1,5 @@
 /**
- * Who is live: one pure step.
+ * Membership of the entries as a pure step function.
  *
  * @module
  */
@@ -13,35 +13,47 @@
   MembershipStep,
 } from "./types.ts";
 
-/** Window, in ms, within which losses count as flapping. */
+/** Window, in ms, over which the losses of an entry are counted. */
 export const FLAP_WINDOW_MS = 60_000;
 
-/** Losses within the window from which an entry is held back. */
+/** Number of losses within the window from which an entry is held back. */
 export const FLAP_LOSSES = 3;
 
-/** Ms for which a flapping entry is held back, doubled by each further loss. */
+/** Hold time, in ms, of a flapping entry; doubled by each further loss. */
 export const FLAP_HOLD_MS = 5_000;
 
-/** Longest time, in ms, for which a flapping entry is held back. */
+/** Maximum hold time, in ms, of a flapping entry. */
 export const MAX_FLAP_HOLD_MS = 60_000;
 
-/** Time, in ms, for which a VM may be absent from the lagging list. */
+/**
+ * Time, in ms, for which a VM may be absent from the platform's list before it
+ * counts as missing; the list lags.
+ */
 export const UNLISTED_GRACE_MS = 3_000;
 
-/** Requests in flight, over the mean, from which an entry is overloaded. */
+/**
+ * Multiple of the mean number of requests in flight above which, together with
+ * the margin, an entry is marked as overloaded.
+ */
 export const OVERLOAD_FACTOR = 1.25;
 
-/** The same, added: with few requests chance alone goes over the factor. */
+/**
+ * Requests in flight added to that threshold: at low load, random variation
+ * alone exceeds the factor.
+ */
 export const OVERLOAD_MARGIN = 8;
 
-/** Requests in flight, over the mean, below which it is no longer. */
-export const UNMARK_FACTOR = 1.1;
+/**
+ * Multiple of the mean number of requests in flight at or below which an entry
+ * is no longer marked as overloaded.
+ */
+export const OVERLOAD_CLEAR_FACTOR = 1.1;
 
-/** Report of an entry that has just said hello. */
+/** Initial report of an entry, until its first heartbeat. */
 const EMPTY_REPORT = { inFlight: 0, demandPerS: {}, poolDemandPerS: {} };
 
 /**
- * Makes a membership that knows nobody.
+ * Creates a membership without entries.
  *
  * @returns The state.
  * @throws Nothing.
@@ -53,17 +65,17 @@
 }
 
 /**
- * Moves the membership by one event.
+ * Applies one event to the membership.
  *
- * An entry is live while its lease runs; a heartbeat of an older incarnation
- * counts for nothing. Leaving beats live, whether the entry or the platform
- * says it. An entry that was lost several times within a minute is held back
- * for a while before callers are told of it again.
+ * An entry is live while its lease runs; heartbeats of other incarnations are
+ * ignored. Leaving takes precedence over live, whether the entry or the
+ * platform reports it. An entry that was lost several times within a minute is
+ * held back for a while before it is published to callers again.
  *
  * @param state - The membership.
- * @param event - What was heard, or a tick.
+ * @param event - The event to apply.
  * @param options - The time and the lease, in ms.
- * @returns The next state and what changed.
+ * @returns The next state and the changes.
  * @throws Nothing.
  * @example
  * const { state: next, lost } = stepMembership(state, { type: "tick" }, {
@@ -76,48 +88,50 @@
   event: MembershipEvent,
   options: MembershipOptions,
 ): MembershipStep {
-  const heard = takeEvent(state, event, options);
-  const touched = listTouched(event, heard);
-  const listed = updateListing(heard, { ...options, touched });
+  const applied = applyEvent(state, event, options);
+  const affected = listAffected(event, applied);
+  const listed = updateListing(applied, { ...options, affected });
   const next = event.type === "tick" ? updateOverload(listed) : listed;
-  const pairs = touched.map((vm): MemberPair => ({
+  const pairs = affected.map((vm): MemberPair => ({
     now: next.entries[vm],
     was: state.entries[vm],
   }));
-  const joined = namesWhere(
+  const joined = filterVms(
     pairs,
     ({ now, was }) => now.listed && !was?.listed,
   );
-  const lost = namesWhere(pairs, ({ now, was }) => !now.listed && was?.listed);
-  const leaving = namesWhere(
+  const lost = filterVms(pairs, ({ now, was }) => !now.listed && was?.listed);
+  const leaving = filterVms(
     pairs,
     ({ now, was }) => now.leaving && !was?.leaving,
   );
-  const reloaded = namesWhere(
+  const overloadChanged = filterVms(
     pairs,
     ({ now, was }) => now.overloaded !== was?.overloaded,
   );
-  const moved = [joined, lost, leaving, reloaded].some((vms) => vms.length > 0);
-  const changed = moved || hasDifferentVms(state, next);
+  const entriesChanged = [joined, lost, leaving, overloadChanged].some((vms) =>
+    vms.length > 0
+  );
+  const changed = entriesChanged || haveVmsChanged(state, next);
   return { state: next, joined, lost, leaving, changed };
 }
 
-/** An entry after a step, and before it. */
+/** An entry after and before a step. */
 interface MemberPair {
   readonly now: EntryMember;
   readonly was: EntryMember | undefined;
 }
 
-function takeEvent(
+function applyEvent(
   state: MembershipState,
   event: MembershipEvent,
   options: MembershipOptions,
 ): MembershipState {
   const { nowMs } = options;
-  if (event.type === "platformList") return takeList(state, { event, nowMs });
+  if (event.type === "platformList") return applyList(state, { event, nowMs });
   if (event.type === "tick") return state;
   if (event.type === "heartbeats") {
-    return takeHeartbeats(state, { event, nowMs });
+    return applyHeartbeats(state, { event, nowMs });
   }
   const before = state.entries[event.vm];
   const member: EntryMember = {
@@ -137,7 +151,7 @@
   return { ...state, entries: { ...state.entries, [member.vm]: member } };
 }
 
-function takeHeartbeats(
+function applyHeartbeats(
   state: MembershipState,
   given: {
     event: Extract<MembershipEvent, { type: "heartbeats" }>;
@@ -162,9 +176,9 @@
   return { ...state, entries };
 }
 
-// The list lags: a VM that it does not show is missing only after a while, and
-// only where the list shows other upstreams' VMs.
-function takeList(
+// The platform's list lags: a VM that is absent from it counts as missing only
+// after a grace period, and only if the list shows some other upstream's VM.
+function applyList(
   state: MembershipState,
   given: {
     event: Extract<MembershipEvent, { type: "platformList" }>;
@@ -173,8 +187,8 @@
 ): MembershipState {
   const { event, nowMs } = given;
   const { vms: listed, expected } = event;
-  const shows = expected.some((vm) => listed[vm] !== undefined);
-  const unlisted = shows
+  const showsUpstreams = expected.some((vm) => listed[vm] !== undefined);
+  const unlisted = showsUpstreams
     ? expected.filter((vm) => listed[vm] === undefined)
     : [];
   const unlistedSinceMs = Object.fromEntries(
@@ -187,9 +201,9 @@
   return { ...state, vms, unlistedSinceMs };
 }
 
-// Looking at all entries for each heartbeat would cost the square of their
+// Checking all entries on each heartbeat would take quadratic time in their
 // number.
-function listTouched(
+function listAffected(
   event: MembershipEvent,
   state: MembershipState,
 ): readonly string[] {
@@ -201,11 +215,11 @@
 
 function updateListing(
   state: MembershipState,
-  options: MembershipOptions & { touched: readonly string[] },
+  options: MembershipOptions & { affected: readonly string[] },
 ): MembershipState {
-  const { nowMs, leaseMs, touched } = options;
+  const { nowMs, leaseMs, affected } = options;
   const entries = { ...state.entries };
-  for (const vm of touched) {
+  for (const vm of affected) {
     const member = entries[vm];
     const alive = nowMs - member.heardMs < leaseMs;
     entries[vm] = alive ? markAlive(member, nowMs) : markLost(member, nowMs);
@@ -213,8 +227,8 @@
   return { ...state, entries };
 }
 
-// Marked above the higher bound, unmarked below the lower one, so that an entry
-// near the bound does not come and go.
+// Hysteresis: the mark is set above the higher threshold and cleared at the
+// lower one, so that an entry near a threshold does not alternate.
 function updateOverload(state: MembershipState): MembershipState {
   const listed = Object.values(state.entries).filter((one) => one.listed);
   const total = listed.reduce((sum, one) => sum + one.report.inFlight, 0);
@@ -223,7 +237,7 @@
   for (const member of Object.values(state.entries)) {
     const { inFlight } = member.report;
     const overloaded = member.overloaded
-      ? inFlight > mean * UNMARK_FACTOR
+      ? inFlight > mean * OVERLOAD_CLEAR_FACTOR
       : inFlight > mean * OVERLOAD_FACTOR + OVERLOAD_MARGIN;
     entries[member.vm] = { ...member, overloaded };
   }
@@ -249,24 +263,24 @@
   return { ...member, listed: false, recentLosses, heldBackUntilMs };
 }
 
-function namesWhere(
+function filterVms(
   pairs: readonly MemberPair[],
   test: (pair: MemberPair) => boolean | undefined,
 ): string[] {
   return pairs.filter(test).map(({ now }) => now.vm);
 }
 
-function hasDifferentVms(a: MembershipState, b: MembershipState): boolean {
+function haveVmsChanged(a: MembershipState, b: MembershipState): boolean {
   if (a.vms === b.vms) return false;
   const names = new Set([...Object.keys(a.vms), ...Object.keys(b.vms)]);
   return [...names].some((name) => a.vms[name] !== b.vms[name]);
 }
 
 /**
- * Gets what entries and callers are told.
+ * Gets the live state that is published to entries and callers.
  *
  * @param state - The membership.
- * @returns The live entries by name, and the VMs that are not simply live.
+ * @returns The live entries sorted by VM, and the VMs in any state but live.
  * @throws Nothing.
  * @example
  * const live = getLiveState(state);
--- a/src/membership/step_membership_test.ts
+++ b/src/membership/step_membership_test.ts
@@ -54,17 +54,17 @@
 
 test("a heartbeat renews the lease, one of an older incarnation does not", () => {
   const first = step(createMembershipState(), makeHello("a"), 0);
-  const again = step(first.state, makeHello("b"), 100);
-  const old = step(again.state, makeHeartbeat({ incarnation: "a" }), 900);
+  const restarted = step(first.state, makeHello("b"), 100);
+  const old = step(restarted.state, makeHeartbeat({ incarnation: "a" }), 900);
   assert.equal(step(old.state, { type: "tick" }, 1_100).lost, ["entry-1"]);
-  const fresh = step(again.state, makeHeartbeat({ incarnation: "b" }), 900);
+  const fresh = step(restarted.state, makeHeartbeat({ incarnation: "b" }), 900);
   assert.equal(step(fresh.state, { type: "tick" }, 1_100).lost, []);
 });
 
-test("leaving beats live, whoever says it", () => {
+test("leaving takes precedence over live, whoever reports it", () => {
   const joined = step(createMembershipState(), makeHello(), 0);
-  const said = step(joined.state, makeHeartbeat({ leaving: true }), 10);
-  const later = step(said.state, makeHeartbeat({ leaving: false }), 20);
+  const reported = step(joined.state, makeHeartbeat({ leaving: true }), 10);
+  const later = step(reported.state, makeHeartbeat({ leaving: false }), 20);
   assert.ok(getLiveState(later.state).entries[0].leaving);
   const listed = step(joined.state, {
     type: "platformList",
@@ -75,7 +75,7 @@
   assert.ok(getLiveState(listed.state).entries[0].leaving);
 });
 
-test("an entry that flaps is held back, longer each time", () => {
+test("an entry that is lost repeatedly is held back before it is live again", () => {
   let { state } = step(createMembershipState(), makeHello(), 0);
   let nowMs = 0;
   for (let loss = 0; loss < 3; loss++) {
@@ -89,7 +89,7 @@
   assert.equal(back.joined, ["entry-1"]);
 });
 
-test("a VM that the list lacks is missing only after a while", () => {
+test("a VM absent from the platform's list is missing only after a grace period", () => {
   const list = (state: MembershipState, nowMs: number, vms: string[]) =>
     step(state, {
       type: "platformList",
@@ -104,7 +104,7 @@
   assert.equal(getLiveState(state).vms, {});
 });
 
-test("a list that shows none of the upstreams says nothing", () => {
+test("a list that shows none of the upstreams is ignored", () => {
   const empty = {
     type: "platformList",
     vms: {},
--- a/src/membership/types.ts
+++ b/src/membership/types.ts
@@ -1,43 +1,43 @@
 /**
- * Membership of the entries as the control leader sees it.
+ * Types of the control leader's view of the entries.
  *
  * @module
  */
 
 import type { EntryReport, PlatformState } from "../model/index.ts";
 
-/** An entry that control knows of. */
+/** An entry that has registered with the control leader. */
 export interface EntryMember {
   readonly vm: string;
   readonly place: string;
   readonly address: string;
-  /** New at each start of the entry's process. */
+  /** Id of the entry's process; new at each start. */
   readonly incarnation: string;
-  /** Leader's monotonic time, in ms, when it was last heard. */
+  /** Leader's monotonic time, in ms, of its last hello or heartbeat. */
   readonly heardMs: number;
-  /** Revision that it has in force. */
+  /** Revision of the configuration that it has applied. */
   readonly revision: number;
   readonly leaving: boolean;
   readonly report: EntryReport;
   /** Whether it has many more requests in flight than the others. */
   readonly overloaded: boolean;
-  /** Whether it is among those that callers are told of. */
+  /** Whether it is published to callers as live. */
   readonly listed: boolean;
-  /** Leader's time, in ms, from which it may be listed again. */
+  /** Leader's monotonic time, in ms, until which it is not listed again. */
   readonly heldBackUntilMs: number;
-  /** Losses within the damping window. */
+  /** Leader's times, in ms, of its losses within the flap window. */
   readonly recentLosses: readonly number[];
 }
 
-/** All entries and the platform's list. */
+/** All entries, and the VM states from the platform's list. */
 export interface MembershipState {
   readonly entries: Readonly<Record<string, EntryMember>>;
   readonly vms: Readonly<Record<string, PlatformState>>;
-  /** Time, in ms, since which a VM that should be listed is not. */
+  /** Time, in ms, since when an expected VM has been absent from the list. */
   readonly unlistedSinceMs: Readonly<Record<string, number>>;
 }
 
-/** What an entry says of itself, twice a second. */
+/** Heartbeat of an entry, sent twice per second. */
 export interface Heartbeat {
   readonly vm: string;
   readonly incarnation: string;
@@ -47,8 +47,8 @@
 }
 
 /**
- * What moves the membership. Heartbeats are taken many at a time: each step
- * copies the table of entries once.
+ * Input of a membership step. Heartbeats are batched, since each step copies
+ * the table of entries.
  */
 export type MembershipEvent =
   | {
@@ -68,20 +68,20 @@
   }
   | { readonly type: "tick" };
 
-/** What a step reports. */
+/** Result of a membership step. */
 export interface MembershipStep {
   readonly state: MembershipState;
   readonly joined: readonly string[];
   readonly lost: readonly string[];
   readonly leaving: readonly string[];
-  /** Whether what entries are told has changed. */
+  /** Whether the published live state has changed. */
   readonly changed: boolean;
 }
 
-/** Times of the membership. */
+/** Current time and lease of a membership step. */
 export interface MembershipOptions {
   /** Monotonic time, in ms. */
   readonly nowMs: number;
-  /** Silence, in ms, after which an entry counts as dead. */
+  /** Time, in ms, without a heartbeat after which an entry counts as lost. */
   readonly leaseMs: number;
 }
