--- a/src/membership/live_change.ts
+++ b/src/membership/live_change.ts
@@ -47,7 +47,7 @@
  * @returns The updated state.
  * @throws Nothing.
  * @example
- * const next = takeLiveChange(state, change);
+ * const next = applyLiveChange(state, change);
  */
 export function takeLiveChange(
   state: LiveState,
--- a/src/quorum/create_quorum_state.ts
+++ b/src/quorum/create_quorum_state.ts
@@ -57,10 +57,10 @@
     log = [],
     timing = DEFAULT_QUORUM_TIMING,
     nowMs = 0,
-    quietSinceMs = nowMs,
+    quietSinceMs: startedMs = nowMs,
     random = 0.5,
   } = options;
-  const voteAllowedMs = quietSinceMs + timing.electionTimeoutMs;
+  const voteAllowedMs = startedMs + timing.electionTimeoutMs;
   const jitterMs = random * timing.electionJitterMs;
   return {
     selfId,
@@ -73,7 +73,7 @@
     ...findMembers(snapshot, log),
     role: "follower",
     leaderId: null,
-    leaderContactMs: quietSinceMs,
+    leaderContactMs: startedMs,
     hasNoLeaderContact: true,
     electionDeadlineMs: Math.max(nowMs, voteAllowedMs) + jitterMs,
     heartbeatDueMs: 0,
--- a/src/quorum/create_quorum_state_test.ts
+++ b/src/quorum/create_quorum_state_test.ts
@@ -22,12 +22,12 @@
 /** Time, in ms after the start of the process, when the replica was created. */
 const READY_MS = 800;
 
-function makeState(quietSinceMs?: number): QuorumState {
+function makeState(startedMs?: number): QuorumState {
   return createQuorumState("a", {
     snapshot: { index: 0, term: 0, members: MEMBERS },
     timing: TIMING,
     nowMs: READY_MS,
-    quietSinceMs,
+    quietSinceMs: startedMs,
     random: 0.5,
   });
 }
--- a/src/quorum/plan_voter_change.ts
+++ b/src/quorum/plan_voter_change.ts
@@ -27,7 +27,7 @@
  * @returns The next members, or undefined if no change is due.
  * @throws Nothing.
  * @example
- * const members = planVoterChange(state, { voters: 3, isSilent });
+ * const members = planVoterChange(state, { voters: 3, isUnresponsive });
  */
 export function planVoterChange(
   state: QuorumState,
--- a/src/storage/read_stored.ts
+++ b/src/storage/read_stored.ts
@@ -45,7 +45,7 @@
  * file.
  * @throws {StorageDamageError} If a file is corrupt other than by a torn tail.
  * @example
- * const { state } = await readStored(folder);
+ * const { state } = await readStoredState(folder);
  */
 export async function readStored(folder: string): Promise<{
   state: StoredState;
