--- a/src/control/create_operator_api.ts
+++ b/src/control/create_operator_api.ts
@@ -33,7 +33,7 @@
   sendNotFound,
   sendNotLeader,
   sendProposalError,
-} from "./send_change_answer.ts";
+} from "./send_change_result.ts";
 
 /** Options of {@link createOperatorApi}. */
 export interface CreateOperatorApiOptions {
