--- a/src/logs/create_line_budget.ts
+++ b/src/logs/create_line_budget.ts
@@ -1,41 +1,41 @@
 /**
- * Bounds how many lines a program logs.
+ * Limits the rate at which a program logs.
  *
  * @module
  */
 
 import type { LogLevel } from "./events.ts";
 
-/** The bound. */
+/** The rate limit and its clock. */
 export interface CreateLineBudgetOptions {
-  /** Lines a second, at most; what is saved up lasts for two seconds. */
+  /** Largest sustained rate; a burst of up to two seconds' worth is allowed. */
   readonly linesPerS?: number;
   /** Monotonic time, in ms. */
   readonly now: () => number;
 }
 
-/** Decides which lines are written. */
+/** Token bucket that decides which lines are written. */
 export interface LineBudget {
-  /** Whether a line may be written; warnings and errors always may. */
+  /** Takes a token for a line, if there is one; warnings and errors need none. */
   take(level: LogLevel): boolean;
-  /** Lines turned down since the last call. */
+  /** Number of lines dropped since the last call. */
   takeDropped(): number;
 }
 
 /**
- * Lines a second: some three for each request at the peak of a gateway, and
- * about one in a hundred of its processor time.
+ * About three lines for each request at a gateway's peak load; writing them takes
+ * about 1% of its processor time.
  */
-const LINES_PER_S = 60;
+const DEFAULT_LINES_PER_S = 60;
 
-/** Seconds for which unused lines are saved up. */
-const SAVED_S = 2;
+/** Size of the bucket, in seconds at the full rate. */
+const BURST_S = 2;
 
 /**
- * Makes a budget.
+ * Creates a line budget.
  *
- * @param options - The bound and the time.
- * @returns The budget, full.
+ * @param options - The rate limit and its clock.
+ * @returns The budget, with a full bucket.
  * @throws Nothing.
  * @example
  * if (budget.take("info")) write(line);
@@ -43,27 +43,30 @@
 export function createLineBudget(
   options: CreateLineBudgetOptions,
 ): LineBudget {
-  const { linesPerS = LINES_PER_S, now } = options;
-  const most = linesPerS * SAVED_S;
-  let left = most;
-  let lastMs = now();
+  const { linesPerS = DEFAULT_LINES_PER_S, now } = options;
+  const capacity = linesPerS * BURST_S;
+  let tokens = capacity;
+  let refilledMs = now();
   let dropped = 0;
 
   function refill(): void {
     const nowMs = now();
-    left = Math.min(most, left + (nowMs - lastMs) * linesPerS / 1_000);
-    lastMs = nowMs;
+    tokens = Math.min(
+      capacity,
+      tokens + (nowMs - refilledMs) * linesPerS / 1_000,
+    );
+    refilledMs = nowMs;
   }
 
   return {
     take(level) {
       if (level === "warn" || level === "error") return true;
       refill();
-      if (left < 1) {
+      if (tokens < 1) {
         dropped += 1;
         return false;
       }
-      left -= 1;
+      tokens -= 1;
       return true;
     },
     takeDropped() {
--- a/src/logs/create_line_budget_test.ts
+++ b/src/logs/create_line_budget_test.ts
@@ -2,7 +2,7 @@
 import * as assert from "uvu/assert";
 import { createLineBudget } from "./create_line_budget.ts";
 
-test("lines over the bound are dropped and counted, warnings never", () => {
+test("lines over the rate limit are dropped and counted, except warnings", () => {
   let nowMs = 0;
   const budget = createLineBudget({ linesPerS: 10, now: () => nowMs });
   const taken = () =>
--- a/src/logs/create_logger.ts
+++ b/src/logs/create_logger.ts
@@ -14,24 +14,24 @@
 /** Logs one event. */
 export type Logger = (event: EventName, fields?: LogFields) => void;
 
-/** How a program logs. */
+/** Options of {@link createLogger}. */
 export interface CreateLoggerOptions {
-  /** The program's name, in each line. */
+  /** The program's name, written in each line. */
   readonly program: string;
   readonly level?: LogLevel;
   readonly format?: "text" | "json";
-  /** Where lines go; by default the standard error. */
+  /** Writes a line; by default to the standard error. */
   readonly write?: (line: string) => void;
-  /** Decides which lines are written; by default all. */
+  /** Whether a line of this level may be written; by default all may. */
   readonly mayWrite?: (level: LogLevel) => boolean;
   /** Wall clock, in ms. */
   readonly now?: () => number;
 }
 
 /**
- * Makes a logger.
+ * Creates a logger.
  *
- * @param options - The program's name, the least level, the format.
+ * @param options - The program's name, the minimum level and the format.
  * @returns A function that logs one event with its fields.
  * @throws Nothing.
  * @example
@@ -47,17 +47,17 @@
     mayWrite = () => true,
     now = Date.now,
   } = options;
-  const leastLevel = LOG_LEVELS.indexOf(level);
+  const minLevel = LOG_LEVELS.indexOf(level);
   const sink = loglevel.getLogger(Symbol(program));
   sink.methodFactory = () => (line: string) => write(line);
   sink.setLevel(level, false);
   return (event, fields = {}) => {
     const kind = EVENTS[event];
-    // What is not written need not be formatted.
-    if (LOG_LEVELS.indexOf(kind.level) < leastLevel) return;
+    // Checked before formatting, which is the expensive part.
+    if (LOG_LEVELS.indexOf(kind.level) < minLevel) return;
     if (!mayWrite(kind.level)) return;
     const time = new Date(now()).toISOString();
-    const plain = describeErrors(fields);
+    const printableFields = describeErrors(fields);
     const line = format === "json"
       ? JSON.stringify({
         time,
@@ -65,9 +65,9 @@
         id: kind.id,
         level: kind.level,
         text: kind.text,
-        ...plain,
+        ...printableFields,
       })
-      : formatTextLine({ time, program, event, fields: plain });
+      : formatTextLine({ time, program, event, fields: printableFields });
     sink[kind.level](line);
   };
 }
@@ -84,10 +84,10 @@
 }
 
 /**
- * Joins an error's message with those of its causes.
+ * Joins the message of an error with those of its causes.
  *
  * @param error - The error.
- * @returns The messages, the outermost first.
+ * @returns The messages, outermost first.
  * @throws Nothing.
  * @example
  * describeError(new Error("Outer", { cause: new Error("inner") }));
--- a/src/logs/events.ts
+++ b/src/logs/events.ts
@@ -4,13 +4,13 @@
  * @module
  */
 
-/** Least levels of a log. */
+/** Log levels, least severe first. */
 export const LOG_LEVELS = ["debug", "info", "warn", "error"] as const;
 
 /** A log level. */
 export type LogLevel = typeof LOG_LEVELS[number];
 
-/** One kind of event: its number, level and meaning. */
+/** One kind of event: its number, level and text. */
 export interface EventKind {
   readonly id: string;
   readonly level: LogLevel;
@@ -21,11 +21,14 @@
   return { id, level, text };
 }
 
-/** All events. CL10: processes, 11: storage, 12: quorum, 13: resources, 14: agents, 15: requests, 16: upstreams, 17: fleet, 18: calls. */
+/**
+ * All events. CL10: processes, 11: storage, 12: quorum, 13: resources, 14: sessions
+ * of entries, 15: requests, 16: upstreams, 17: fleet, 18: calls of gateways.
+ */
 export const EVENTS = {
   started: event("CL1001", "info", "Process started"),
-  stopping: event("CL1002", "info", "Planned stop began"),
-  stopped: event("CL1003", "info", "Process ended"),
+  stopping: event("CL1002", "info", "Graceful shutdown started"),
+  stopped: event("CL1003", "info", "Process stopped"),
   signalRepeated: event(
     "CL1004",
     "warn",
@@ -34,42 +37,50 @@
   drainTimedOut: event(
     "CL1005",
     "error",
-    "Requests were still in flight when the drain time ran out",
+    "Drain timed out with requests still in flight",
   ),
-  settingsWrong: event("CL1006", "error", "Settings are wrong"),
+  settingsWrong: event("CL1006", "error", "Settings are invalid"),
   internalError: event("CL1007", "error", "Unexpected error"),
-  tlsReloaded: event("CL1008", "info", "TLS files were loaded again"),
+  tlsReloaded: event("CL1008", "info", "TLS files were reloaded"),
   tlsReloadFailed: event(
     "CL1009",
     "error",
-    "TLS files could not be loaded; the old ones stay in use",
+    "TLS files could not be reloaded; the previous ones stay in use",
   ),
   startFailed: event("CL1010", "error", "Process could not start"),
-  tornTailCut: event("CL1101", "warn", "Torn tail of the log was cut off"),
-  diskFull: event("CL1102", "error", "Disk refuses writes; trying again"),
-  diskBack: event("CL1103", "info", "Disk takes writes again"),
+  tornTailCut: event(
+    "CL1101",
+    "warn",
+    "Incomplete last record of the log was truncated",
+  ),
+  diskFull: event("CL1102", "error", "Disk write failed; retrying"),
+  diskBack: event("CL1103", "info", "Disk writes succeed again"),
   snapshotSaved: event("CL1104", "info", "Snapshot saved"),
   clusterFormed: event("CL1201", "info", "Cluster formed"),
   clusterJoined: event("CL1202", "info", "Joined the cluster as a learner"),
   roleChanged: event("CL1203", "info", "Quorum role changed"),
-  membersChanged: event("CL1204", "info", "Quorum membership changes"),
+  membersChanged: event("CL1204", "info", "Changing the quorum membership"),
   snapshotSent: event("CL1205", "info", "Snapshot sent to a replica"),
   snapshotInstalled: event("CL1206", "info", "Snapshot installed"),
   foreignPeer: event(
     "CL1207",
     "warn",
-    "Message of another cluster or replica dropped",
+    "Dropped a message that belongs to another cluster or replica",
   ),
-  invariantBroken: event("CL1208", "error", "Invariant broken"),
+  invariantBroken: event("CL1208", "error", "Invariant violated"),
   changeAccepted: event("CL1301", "info", "Change accepted"),
   changeConflict: event(
     "CL1302",
     "info",
-    "Change turned down: the resource has another revision",
+    "Change rejected: the resource has another revision",
   ),
-  operatorRefused: event("CL1303", "warn", "Operator refused"),
-  entryJoined: event("CL1401", "info", "Entry is live"),
-  entryLost: event("CL1402", "warn", "Entry's lease ran out"),
+  operatorRefused: event(
+    "CL1303",
+    "warn",
+    "Operator request rejected: not authenticated or not allowed",
+  ),
+  entryJoined: event("CL1401", "info", "Entry joined"),
+  entryLost: event("CL1402", "warn", "Entry's lease expired"),
   entryLeaving: event("CL1403", "info", "Entry is leaving"),
   controlConnected: event(
     "CL1404",
@@ -77,35 +88,43 @@
     "Session with the control leader opened",
   ),
   controlLost: event("CL1405", "warn", "Session with control lost"),
-  configApplied: event("CL1406", "info", "Configuration in force here"),
+  configApplied: event("CL1406", "info", "Configuration applied"),
   configStale: event("CL1407", "warn", "Older configuration ignored"),
   platformListFailed: event(
     "CL1408",
     "warn",
-    "Platform's list could not be read",
+    "Platform's list of VMs could not be read",
   ),
-  requestRefused: event("CL1501", "info", "Request refused"),
+  requestRefused: event("CL1501", "info", "Request rejected"),
   requestEnded: event("CL1502", "debug", "Request ended"),
-  requestFailed: event("CL1503", "warn", "Request came to a bad end"),
+  requestFailed: event("CL1503", "warn", "Request failed"),
   pipelineInvariant: event(
     "CL1504",
     "error",
-    "Pipeline invariant broken; the request ends as failed",
+    "Pipeline invariant violated; the request fails",
   ),
-  upstreamRetry: event("CL1601", "info", "Request is tried again"),
+  upstreamRetry: event("CL1601", "info", "Request is retried"),
   upstreamEjected: event("CL1602", "warn", "Upstream is left out for a while"),
-  chainRepaired: event("CL1603", "info", "Pipeline goes on over another stage"),
-  lateFrame: event("CL1604", "debug", "Late answer of an older epoch dropped"),
+  chainRepaired: event(
+    "CL1603",
+    "info",
+    "Pipeline continues with a replacement stage",
+  ),
+  lateFrame: event(
+    "CL1604",
+    "debug",
+    "Dropped a late answer of an older epoch",
+  ),
   gatewayJoined: event("CL1701", "info", "Gateway opened a session"),
   gatewayLost: event("CL1702", "warn", "Gateway's session ended"),
   engineJoined: event("CL1703", "info", "Upstream registered"),
   engineChanged: event("CL1704", "info", "Upstream changed"),
   engineLost: event("CL1705", "warn", "Upstream is no longer counted on"),
-  engineLeaves: event("CL1706", "info", "Upstream's leave is recorded"),
-  layersOrdered: event("CL1707", "info", "Engine was ordered to hold layers"),
-  configAccepted: event("CL1708", "info", "Whole configuration accepted"),
-  configInvalid: event("CL1709", "warn", "Whole configuration is invalid"),
-  callFailed: event("CL1710", "warn", "Leader could not answer a call"),
+  engineLeaves: event("CL1706", "info", "Upstream's departure was recorded"),
+  layersOrdered: event("CL1707", "info", "Engine was ordered to load layers"),
+  configAccepted: event("CL1708", "info", "Full configuration accepted"),
+  configInvalid: event("CL1709", "warn", "Full configuration is invalid"),
+  callFailed: event("CL1710", "warn", "Leader failed to answer a call"),
   membersNotChanged: event(
     "CL1711",
     "warn",
@@ -115,133 +134,145 @@
   enginesNotRecorded: event(
     "CL1713",
     "warn",
-    "Upstreams heard of could not be recorded",
+    "Reported upstreams could not be recorded",
   ),
   controlNotReached: event(
     "CL1731",
     "info",
-    "Control process did not take this gateway in; another one is asked",
+    "Control process did not accept this gateway; trying another one",
   ),
   gatewaysNotRecorded: event(
     "CL1729",
     "warn",
-    "Gateways counted on could not be recorded",
+    "Connected gateways could not be recorded",
   ),
   gatewaysCounted: event(
     "CL1730",
     "info",
-    "New leader has heard of the recorded gateways, or waits for the rest no longer",
+    "New leader has stopped waiting: all recorded gateways reported, or the wait timed out",
   ),
   configChangeUnfit: event(
     "CL1715",
     "error",
-    "Change of a configuration is from another version; the whole is asked for",
+    "Configuration change is based on another version; requesting the full configuration",
   ),
   engineFoundLost: event(
     "CL1714",
     "warn",
-    "Gateways of a data centre found upstreams lost",
+    "Gateways of a data centre reported failed upstreams",
   ),
   casesNotRecorded: event(
     "CL1716",
     "warn",
-    "News of suspected requests could not be recorded",
+    "Updates about suspected requests could not be recorded",
   ),
   requestConvicted: event(
     "CL1717",
     "error",
-    "Request ends upstreams that run it; it is held back",
+    "Request crashes the upstreams that run it; it is held back",
+  ),
+  trialGranted: event(
+    "CL1718",
+    "warn",
+    "Suspected request was granted a trial run",
   ),
-  trialGranted: event("CL1718", "warn", "Suspected request runs on trial"),
   casesCleared: event(
     "CL1719",
     "info",
-    "Requests are no longer suspected of ending upstreams",
+    "Requests are no longer suspected of crashing upstreams",
   ),
   callSent: event("CL1801", "info", "Request was sent to an upstream"),
   callNotRun: event("CL1802", "info", "Upstream did not run the request"),
   callBroken: event("CL1803", "info", "Answer broke off or failed"),
-  callGivenUp: event("CL1804", "info", "Nowhere is left to send the request"),
+  callGivenUp: event(
+    "CL1804",
+    "info",
+    "No upstream is left to which the request can be sent",
+  ),
   callEnded: event("CL1805", "info", "Request ended"),
-  callEndedBadly: event("CL1808", "warn", "Request came to a bad end"),
+  callEndedBadly: event("CL1808", "warn", "Request ended with a failure"),
   engineAsked: event("CL1806", "info", "Engine gave no report"),
-  pathChanged: event("CL1807", "info", "Running request changed its path"),
+  pathChanged: event("CL1807", "info", "Running request moved to another path"),
   upstreamEnded: event(
     "CL1809",
     "warn",
-    "Upstream ended when it had just begun a request",
+    "Upstream crashed just after it began a request",
   ),
   entryUnreadable: event(
     "CL1720",
     "warn",
-    "Heartbeat or configuration can't be read; it says nothing",
+    "Unreadable heartbeat or configuration entry ignored",
   ),
   serviceUnknown: event(
     "CL1721",
     "warn",
-    "Upstream of a service that is not configured is left out",
+    "Upstream ignored: its service is not configured",
   ),
   engineAsksForBackOff: event(
     "CL1722",
     "warn",
-    "Upstream turned this gateway away and asks it for a back-off",
+    "Upstream rejected a request and asked this gateway to back off",
   ),
   engineSaysLeaving: event(
     "CL1723",
     "info",
-    "Upstream says in an answer that it leaves",
+    "Upstream announced in an answer that it is leaving",
   ),
   engineLimited: event(
     "CL1724",
     "warn",
-    "Upstream takes so many requests a second from all gateways",
+    "Upstream has a rate limit over all gateways, in requests per second",
+  ),
+  engineNotLimited: event(
+    "CL1725",
+    "info",
+    "Upstream no longer has a rate limit",
   ),
-  engineNotLimited: event("CL1725", "info", "Upstream is no longer limited"),
   limitInForce: event(
     "CL1726",
     "info",
-    "Rate limit of an upstream came into force, changed or ended",
+    "Rate limit of an upstream was set, changed or removed",
   ),
   callNotGranted: event(
     "CL1812",
     "info",
-    "Request was not granted a send to an upstream at its rate limit",
+    "Request was denied an upstream that is at its rate limit",
   ),
   callWithheld: event(
     "CL1811",
     "info",
-    "Request had not left yet when its upstream asked for a back-off or left",
+    "Request was withheld: its upstream backed off or left before it was sent",
   ),
   runsSpent: event(
     "CL1813",
     "warn",
-    "Request ran on as many upstreams as its route allows; it goes on nowhere",
+    "Request ran on as many upstreams as its route allows; not retried",
   ),
   requestHeldBack: event(
     "CL1810",
     "warn",
-    "Request is held back: upstreams ended under it",
+    "Request is held back: upstreams crashed while running it",
   ),
   linesDropped: event(
     "CL1012",
     "warn",
-    "Log lines were dropped: too many, or their reader is slow",
+    "Log lines were dropped: rate limit exceeded or slow reader",
   ),
-  settingsChanged: event("CL1011", "info", "Settings were read again"),
+  settingsChanged: event("CL1011", "info", "Settings were reloaded"),
   loopDelayed: event(
     "CL1013",
     "warn",
-    "Event loop stood still: nothing else could run meanwhile",
+    "Event loop was blocked",
   ),
   configPublished: event(
     "CL1727",
     "info",
-    "Configuration was written to the gateways' sessions",
+    "Configuration was sent to the gateways' sessions",
   ),
   configInForce: event(
     "CL1728",
     "info",
-    "Configuration is in force at all gateways with a session",
+    "Configuration is applied at all gateways with a session",
   ),
 } as const;
 
--- a/src/logs/trace_request.ts
+++ b/src/logs/trace_request.ts
@@ -1,42 +1,42 @@
 /**
- * Follows a request through the log lines of several processes.
+ * Collects the log lines of a request from several processes.
  *
  * @module
  */
 
-/** A line that has to do with the request. */
+/** A log line that concerns the request. */
 export interface TracedLine {
-  /** Wall clock of the process that wrote it, as it wrote it. */
+  /** Wall-clock time of the process that wrote the line, unchanged. */
   readonly time: string;
-  /** What stands before the line's JSON (who wrote it), else the program. */
+  /** The text before the line's JSON (such as a host name), else the program. */
   readonly source: string;
-  /** Number of the event in the catalogue. */
+  /** Number of the event, such as CL1801. */
   readonly id: string;
   readonly text: string;
-  /** Its other fields. */
+  /** The remaining fields. */
   readonly fields: Readonly<Record<string, unknown>>;
 }
 
-/** What is looked for. */
+/** Options of {@link traceRequest}. */
 export interface TraceRequestOptions {
   readonly requestId: string;
-  /** Ms around the request in which news of its upstreams counts. */
-  readonly aroundMs?: number;
+  /** Ms before and after the request in which lines on its upstreams are included. */
+  readonly marginMs?: number;
 }
 
-/** Ms in which a lost upstream is noticed, replaced, and told of. */
-const AROUND_MS = 2_000;
+/** Ms within which a failed upstream is detected, replaced and reported. */
+const DEFAULT_MARGIN_MS = 2_000;
 
 /** Fields that name an upstream. */
 const ENGINE_FIELDS = ["engineId", "faulty", "dead"] as const;
 
 /**
- * Finds the lines of a request, and news of the upstreams that they name around
- * that time, in the order of time.
+ * Finds the lines of a request, and the lines on its upstreams around that time,
+ * in chronological order.
  *
- * @param lines - Log lines of any processes; what is not JSON is passed over.
+ * @param lines - Log lines of any processes; lines that are not JSON are skipped.
  * @param options - The request.
- * @returns The lines; none where nothing is known of the request.
+ * @returns The lines; empty if no line belongs to the request.
  * @throws Nothing.
  * @example
  * traceRequest(text.split("\n"), { requestId: "3f2a" });
@@ -45,20 +45,24 @@
   lines: readonly string[],
   options: TraceRequestOptions,
 ): TracedLine[] {
-  const { requestId, aroundMs = AROUND_MS } = options;
+  const { requestId, marginMs = DEFAULT_MARGIN_MS } = options;
   const all = lines.flatMap(parseLine);
-  const own = all.filter(({ fields }) => fields.requestId === requestId);
-  if (own.length === 0) return [];
-  const times = own.map(getTimeMs);
-  const fromMs = Math.min(...times) - aroundMs;
-  const untilMs = Math.max(...times) + aroundMs;
-  const engines = new Set(own.flatMap(listEngines));
-  const news = all.filter((line) =>
+  const requestLines = all.filter(({ fields }) =>
+    fields.requestId === requestId
+  );
+  if (requestLines.length === 0) return [];
+  const times = requestLines.map(getTimeMs);
+  const fromMs = Math.min(...times) - marginMs;
+  const untilMs = Math.max(...times) + marginMs;
+  const engines = new Set(requestLines.flatMap(listEngines));
+  const upstreamLines = all.filter((line) =>
     line.fields.requestId === undefined && getTimeMs(line) >= fromMs &&
     getTimeMs(line) <= untilMs &&
     listEngines(line).some((engineId) => engines.has(engineId))
   );
-  return [...own, ...news].sort((a, b) => getTimeMs(a) - getTimeMs(b));
+  return [...requestLines, ...upstreamLines].sort((a, b) =>
+    getTimeMs(a) - getTimeMs(b)
+  );
 }
 
 function parseLine(line: string): TracedLine[] {
@@ -72,7 +76,7 @@
     const source = line.slice(0, start).trim() || String(program);
     return [{ time, source, id, text: String(text), fields }];
   } catch {
-    // A line of another program, or one that was cut: no line of ours.
+    // A line of another program, or a truncated one.
     return [];
   }
 }
@@ -81,7 +85,8 @@
   return Date.parse(line.time);
 }
 
-// A path is written as engine and the layer after its part, in turn.
+// A path is written as `engineId:layer,engineId:layer`, each with the layer after
+// the engine's last one.
 function listEngines({ fields }: TracedLine): string[] {
   const named = ENGINE_FIELDS.map((name) => fields[name]);
   const path = typeof fields.path === "string" ? fields.path.split(",") : [];
--- a/src/logs/trace_request_test.ts
+++ b/src/logs/trace_request_test.ts
@@ -24,10 +24,10 @@
   return lines;
 }
 
-test("a request's lines come in the order of time, with its upstreams' news", () => {
-  const [far, ...near] = writeLines();
+test("a request's lines are in chronological order, with the lines on its upstreams", () => {
+  const [earlier, ...recent] = writeLines();
   const traced = traceRequest(
-    [far, "no JSON", ...near.map((line) => `36.05 vm-1 ${line}`), "{cut"],
+    [earlier, "no JSON", ...recent.map((line) => `36.05 vm-1 ${line}`), "{cut"],
     { requestId: "r1" },
   );
   assert.equal(traced.map(({ text }) => text), [
@@ -40,7 +40,7 @@
   assert.is(traced[1].fields.engineId, "e2");
 });
 
-test("of an unknown request nothing is told", () => {
+test("an unknown request has no lines", () => {
   assert.equal(traceRequest(writeLines(), { requestId: "r3" }), []);
 });
 
--- a/src/metrics/create_metrics.ts
+++ b/src/metrics/create_metrics.ts
@@ -1,5 +1,5 @@
 /**
- * Metrics over StatsD.
+ * Sends metrics over StatsD.
  *
  * @module
  */
@@ -11,34 +11,34 @@
   RetryReason,
 } from "./metric_catalogue.ts";
 
-/** Sends metrics; names are checked by the compiler. */
+/** Records metrics; the compiler checks their names. */
 export interface Metrics extends AsyncDisposable {
   count(name: MetricName, value?: number): void;
   gauge(name: MetricName, value: number): void;
   timing(name: MetricName, valueMs: number): void;
   countRefusal(reason: RefusalReason): void;
   countRetry(reason: RetryReason): void;
-  /** All counters since the start, by name; for tests and `/v1/counters`. */
+  /** All counters since the process started, by name; for tests and `/v1/counters`. */
   getCounters(): Readonly<Record<string, number>>;
 }
 
-/** Where metrics go. */
+/** Options of {@link createMetrics}. */
 export interface CreateMetricsOptions {
-  /** Host of the StatsD server; empty sends nothing. */
+  /** Host of the StatsD server; if empty, nothing is sent. */
   readonly host?: string;
   readonly port?: number;
-  /** Put before each name. */
+  /** Prefix of each name. */
   readonly prefix?: string;
 }
 
-/** Ms for which packets are gathered before they are sent. */
+/** Longest time for which metrics are buffered before they are sent, in ms. */
 const FLUSH_INTERVAL_MS = 250;
 
 /**
- * Makes the metrics of a program.
+ * Creates the metrics of a program.
  *
- * @param options - Where they go.
- * @returns The metrics; disposing of them sends what is left.
+ * @param options - The StatsD server and the prefix of names.
+ * @returns The metrics; disposing of them flushes the buffer.
  * @throws Nothing.
  * @example
  * await using metrics = createMetrics({ host: "127.0.0.1", port: 8125 });
@@ -55,16 +55,16 @@
     errorHandler: () => {},
   });
   const counters = new Map<string, number>();
-  function countNamed(name: string, value = 1): void {
+  function increment(name: string, value = 1): void {
     counters.set(name, (counters.get(name) ?? 0) + value);
     client?.increment(name, value);
   }
   return {
-    count: countNamed,
+    count: increment,
     gauge: (name, value) => client?.gauge(name, value),
     timing: (name, valueMs) => client?.timing(name, valueMs),
-    countRefusal: (reason) => countNamed(`refusal.${reason}`),
-    countRetry: (reason) => countNamed(`retry.${reason}`),
+    countRefusal: (reason) => increment(`refusal.${reason}`),
+    countRetry: (reason) => increment(`retry.${reason}`),
     getCounters: () => Object.fromEntries(counters),
     async [Symbol.asyncDispose]() {
       if (!client) return;
--- a/src/metrics/create_scraped_metrics.ts
+++ b/src/metrics/create_scraped_metrics.ts
@@ -1,5 +1,5 @@
 /**
- * Metrics that are read over HTTP in the text form of Prometheus.
+ * Metrics that are scraped over HTTP in the text format of Prometheus.
  *
  * @module
  */
@@ -13,19 +13,19 @@
   RETRY_REASONS,
 } from "./metric_catalogue.ts";
 
-/** Metrics with their text. */
+/** Metrics that can be formatted for a scrape. */
 export interface ScrapedMetrics extends Metrics {
-  /** Type of the text, for the Content-Type header. */
+  /** Media type of the formatted text, for the Content-Type header. */
   readonly contentType: string;
   format(): Promise<string>;
 }
 
-/** Bounds of the latency histograms, in ms: from a local hop to a deadline. */
+/** Buckets of the latency histograms, in ms: from a local hop to a deadline. */
 const BUCKETS_MS = [1, 2, 5, 10, 25, 50, 100, 200, 500, 1_000, 2_500, 10_000];
 
 /**
- * Makes the metrics of a program; names follow the catalogue, with
- * underscores and a prefix.
+ * Creates the metrics of a program. Names are those of the catalogue, with dots
+ * replaced by underscores and the prefix `crowlever_`.
  *
  * @returns The metrics.
  * @throws Nothing.
@@ -48,22 +48,22 @@
     labelNames: ["reason"],
     registers,
   });
-  const made = new Map<string, Counter | Gauge | Histogram>();
+  const collectors = new Map<string, Counter | Gauge | Histogram>();
   const counters = new Map<string, number>();
 
-  function get<Kind extends Counter | Gauge | Histogram>(
+  function getOrCreate<Kind extends Counter | Gauge | Histogram>(
     name: MetricName,
-    make: (options: { name: string; help: string }) => Kind,
+    create: (options: { name: string; help: string }) => Kind,
   ): Kind {
-    const known = made.get(name);
-    if (known) return known as Kind;
+    const existing = collectors.get(name);
+    if (existing) return existing as Kind;
     const fullName = `crowlever_${name.replaceAll(".", "_")}`;
-    const created = make({ name: fullName, help: METRICS[name] });
-    made.set(name, created);
+    const created = create({ name: fullName, help: METRICS[name] });
+    collectors.set(name, created);
     return created;
   }
 
-  function note(name: string, value = 1): void {
+  function addToCounter(name: string, value = 1): void {
     counters.set(name, (counters.get(name) ?? 0) + value);
   }
 
@@ -71,22 +71,25 @@
     contentType: registry.contentType,
     format: () => registry.metrics(),
     count(name, value = 1) {
-      note(name, value);
-      get(name, (named) => new Counter({ ...named, registers })).inc(value);
+      addToCounter(name, value);
+      getOrCreate(name, (named) => new Counter({ ...named, registers }))
+        .inc(value);
     },
     gauge: (name, value) =>
-      get(name, (named) => new Gauge({ ...named, registers })).set(value),
+      getOrCreate(name, (named) => new Gauge({ ...named, registers })).set(
+        value,
+      ),
     timing: (name, valueMs) =>
-      get(
+      getOrCreate(
         name,
         (named) => new Histogram({ ...named, buckets: BUCKETS_MS, registers }),
       ).observe(valueMs),
     countRefusal(reason) {
-      note(`refusal.${reason}`);
+      addToCounter(`refusal.${reason}`);
       refusals.inc({ reason });
     },
     countRetry(reason) {
-      note(`retry.${reason}`);
+      addToCounter(`retry.${reason}`);
       retries.inc({ reason });
     },
     getCounters: () => Object.fromEntries(counters),
--- a/src/metrics/metric_catalogue.ts
+++ b/src/metrics/metric_catalogue.ts
@@ -4,7 +4,7 @@
  * @module
  */
 
-/** Why a request was refused; each has its counter and problem document. */
+/** Why a request was rejected; each reason has its counter and problem document. */
 export const REFUSAL_REASONS = {
   unknown_key: "The key belongs to no client account",
   unknown_service: "No such service is declared",
@@ -37,85 +37,91 @@
   answer_broken: "The upstream's answer broke off",
 } as const;
 
-/** Why a request was refused. */
+/** Why a request was rejected. */
 export type RefusalReason = keyof typeof REFUSAL_REASONS;
 
-/** Why an upstream was tried again. */
+/** Why a request was retried. */
 export const RETRY_REASONS = {
   connect_failed: "No connection could be made; nothing was sent",
-  upstream_refused: "The upstream said that it did not run the request",
+  upstream_refused: "The upstream reported that it did not run the request",
   reset_before_answer: "The connection was cut before an answer",
   reset_mid_answer: "The connection was cut within the answer",
   timeout: "The upstream did not answer in time",
   upstream_error: "The upstream answered with a server error",
-  stage_rejected: "A stage refused a step as out of order",
+  stage_rejected: "A stage rejected a step as out of order",
 } as const;
 
-/** Why an upstream was tried again. */
+/** Why a request was retried. */
 export type RetryReason = keyof typeof RETRY_REASONS;
 
-/** All other counters, gauges and timings, with their meaning. */
+/** All other counters, gauges and timings, with their help texts. */
 export const METRICS = {
-  "requests.started": "Requests that callers began",
-  "requests.done": "Requests that ended done",
-  "requests.not_run": "Requests that ended not run",
-  "requests.failed": "Requests that ended failed",
-  "requests.unknown": "Requests that ended unknown",
+  "requests.started": "Requests received from callers",
+  "requests.done": "Requests that ended with the outcome done",
+  "requests.not_run": "Requests that ended with the outcome not_run",
+  "requests.failed": "Requests that ended with the outcome failed",
+  "requests.unknown": "Requests that ended with the outcome unknown",
   "requests.in_flight": "Requests in flight",
-  "requests.queued": "Requests waiting",
-  "requests.duration_ms": "Time from a request's head to its end, in ms",
+  "requests.queued": "Requests waiting in a queue",
+  "requests.duration_ms": "Time from a request's headers to its end, in ms",
   "requests.first_token_ms": "Time to the first token, in ms",
-  "requests.queue_ms": "Time that a request waited, in ms",
-  "requests.caller_gone": "Callers that went away before the end",
-  "retry.budget_spent": "Retries that the budget forbade",
+  "requests.queue_ms": "Time that a request waited in a queue, in ms",
+  "requests.caller_gone": "Requests whose caller disconnected before the end",
+  "retry.budget_spent": "Retries denied by the retry budget",
   "pipeline.late_frames": "Answers of an older epoch, dropped",
-  "pipeline.repairs": "Chains that went on over another stage",
-  "pipeline.invariant": "Broken invariants of a pipeline",
-  "upstream.ejected": "Upstreams left out for a while",
-  "upstream.end_checks": "Looks whether an upstream ended under a request",
+  "pipeline.repairs": "Chains that continued with a replacement stage",
+  "pipeline.invariant": "Violated invariants of pipelines",
+  "upstream.ejected": "Upstreams ejected for a while",
+  "upstream.end_checks":
+    "Checks whether an upstream crashed while it ran a request",
   "upstream.ended_under_request":
-    "Runs that had just begun when their upstream ended",
+    "Runs that had just begun when their upstream crashed",
   "process.loop_delay_ms":
-    "Time for which the event loop stood still, in ms; long ones only",
-  "config.revision": "Revision in force at this process",
-  "config.apply_ms": "Time for which a gateway applies a configuration, in ms",
+    "Time for which the event loop was blocked, in ms; only long ones",
+  "config.revision": "Configuration revision applied by this process",
+  "config.apply_ms":
+    "Time that a gateway takes to apply a configuration, in ms",
   "config.publish_ms":
-    "Time for which the leader writes a configuration to all sessions, in ms",
+    "Time that the leader takes to write a configuration to all sessions, in ms",
   "config.rollout_ms":
-    "Time from the acceptance of a configuration until it is in force at all gateways, in ms",
-  "config.changes_made": "Differences of two configurations that were made",
-  "config.lagging": "Gateways where the newest configuration is not in force",
-  "config.lease_ms": "Ms for which the configuration may still be trusted",
-  "quarantine.suspects": "Requests under which upstreams ended",
-  "quarantine.held": "Requests that are held back for it",
-  "entries.unreadable": "Heartbeats and configurations that could not be read",
-  "engines.known": "Upstreams that registered",
-  "engines.rests_asked": "Answers in which upstreams asked for a back-off",
-  "engines.resting": "Upstreams that want nothing of this gateway for now",
-  "engines.limits_named": "Answers in which upstreams named a new rate limit",
-  "engines.limited": "Upstreams that are limited",
+    "Time from the acceptance of a configuration until all gateways apply it, in ms",
+  "config.changes_made": "Computed differences between two configurations",
+  "config.lagging": "Gateways that do not apply the newest configuration yet",
+  "config.lease_ms": "Time until the lease on the configuration expires, in ms",
+  "quarantine.suspects": "Requests suspected of crashing upstreams",
+  "quarantine.held": "Suspected requests that are held back",
+  "entries.unreadable": "Unreadable heartbeats and configuration entries",
+  "engines.known": "Registered upstreams",
+  "engines.rests_asked": "Answers in which an upstream asked for a back-off",
+  "engines.resting": "Upstreams that this gateway is backing off from",
+  "engines.limits_named":
+    "Answers in which an upstream announced a new rate limit",
+  "engines.limited": "Upstreams with a rate limit",
   "grants.requested":
-    "Sends to limited upstreams for which the leader was asked",
-  "grants.denied": "Times that a limited upstream had no send left",
-  "grants.unanswered": "Requests for sends that the leader did not answer",
+    "Grants requested from the leader for sends to rate-limited upstreams",
+  "grants.denied":
+    "Grant answers that reported an upstream's rate limit as used up",
+  "grants.unanswered": "Grant requests that the leader did not answer",
   "requests.withheld":
-    "Requests that had not left yet when their upstream asked for a back-off or left",
-  "engines.suspected": "Upstreams left out for a while by this gateway",
-  "paths.changed": "Running requests moved to other parts of a path",
-  "streams.resumed": "Streams that went on in another run",
-  "logs.dropped": "Log lines dropped for a slow reader or over the budget",
-  "config.stale": "Older configurations that were ignored",
-  "control.sessions": "Sessions with entries",
-  "control.hellos": "Hellos of gateways that look for the leader",
-  "control.hellos_waiting": "Gateways that wait here until a leader is known",
-  "control.hellos_redirected": "Gateways that were sent to another process",
+    "Requests withheld because their upstream backed off or left before they were sent",
+  "engines.suspected":
+    "Upstreams suspected by this gateway and left out for a while",
+  "paths.changed": "Running requests moved to another path",
+  "streams.resumed": "Streams resumed by another run of the request",
+  "logs.dropped":
+    "Log lines dropped because of the rate limit or a slow reader",
+  "config.stale": "Ignored configurations that were older than the current one",
+  "control.sessions": "Open sessions with entries",
+  "control.hellos": "Hello messages of gateways that look for the leader",
+  "control.hellos_waiting": "Gateways waiting here until a leader is known",
+  "control.hellos_redirected": "Gateways redirected to another control process",
   "control.changes": "Changes accepted",
   "control.claims": "Claims granted",
-  "control.orders": "Orders given to upstreams",
+  "control.orders": "Orders sent to upstreams",
   "quorum.term": "Current term",
   "quorum.commit_ms": "Time from a proposal to its commit, in ms",
-  "quorum.sync_ms": "Time of a sync, in ms",
-  "quorum.log_entries": "Entries in the log since its start",
+  "quorum.sync_ms": "Time to append to the log and sync it to disk, in ms",
+  "quorum.log_entries": "Log entries applied since the process started",
 } as const;
 
 /** The name of a metric. */
--- a/src/model/find_schema_problems.ts
+++ b/src/model/find_schema_problems.ts
@@ -1,5 +1,5 @@
 /**
- * Problems of a value against a schema, in words.
+ * Validates a value against a schema and describes each violation in words.
  *
  * @module
  */
@@ -7,11 +7,11 @@
 import type { TSchema } from "typebox";
 import { Value } from "typebox/value";
 
-/** One problem: where it is, what was found and what is allowed. */
+/** One schema violation: its location, the value found and what is allowed. */
 export interface SchemaProblem {
-  /** Field names and positions, joined by dots; empty for the whole value. */
+  /** Field names and array indexes, joined by dots; empty for the root value. */
   readonly field: string;
-  /** The same as path segments. */
+  /** The same location as path segments. */
   readonly path: readonly string[];
   readonly found: string;
   readonly allowed: string;
@@ -20,11 +20,11 @@
 type AnySchema = TSchema & Record<string, unknown>;
 
 /**
- * Finds all problems of a value against a schema.
+ * Finds all violations of a schema by a value.
  *
  * @param schema - The schema.
  * @param value - The value to check.
- * @returns The problems, the first for each field; none where the value fits.
+ * @returns The first problem of each field; empty if the value is valid.
  * @throws Nothing.
  * @example
  * const problems = findSchemaProblems(PoolSpecSchema, { upstreams: 5 });
@@ -35,7 +35,7 @@
 ): SchemaProblem[] {
   const problems = new Map<string, SchemaProblem>();
   for (const error of Value.Errors(schema, value)) {
-    for (const path of getProblemPaths(error)) {
+    for (const path of listProblemPaths(error)) {
       const field = path.join(".");
       if (problems.has(field)) continue;
       problems.set(field, describeProblem(schema, { path, value }));
@@ -52,7 +52,7 @@
   readonly params: object;
 }
 
-function getProblemPaths(error: ValueError): string[][] {
+function listProblemPaths(error: ValueError): string[][] {
   const path = error.instancePath.split("/").slice(1);
   const params = error.params as {
     requiredProperties?: string[];
@@ -67,7 +67,7 @@
   return [path];
 }
 
-// An object is named wrong only where none of its fields is.
+// An object is reported only if none of its fields is reported.
 function hasDeeperProblem(
   problem: SchemaProblem,
   all: readonly SchemaProblem[],
@@ -117,7 +117,7 @@
 }
 
 /**
- * Says what a schema allows.
+ * Describes what a schema allows.
  *
  * @param schema - The schema.
  * @returns A short phrase such as "integer, at least 1".
@@ -134,16 +134,16 @@
     }`;
   }
   if (at.const !== undefined) return JSON.stringify(at.const);
-  const words = [String(at.type)];
-  if (at.minimum !== undefined) words.push(`at least ${at.minimum}`);
+  const terms = [String(at.type)];
+  if (at.minimum !== undefined) terms.push(`at least ${at.minimum}`);
   if (at.exclusiveMinimum !== undefined) {
-    words.push(`above ${at.exclusiveMinimum}`);
+    terms.push(`above ${at.exclusiveMinimum}`);
   }
-  if (at.maximum !== undefined) words.push(`at most ${at.maximum}`);
-  if (at.minItems !== undefined) words.push(`${at.minItems} items or more`);
+  if (at.maximum !== undefined) terms.push(`at most ${at.maximum}`);
+  if (at.minItems !== undefined) terms.push(`${at.minItems} items or more`);
   if (at.minLength !== undefined) {
-    words.push(`${at.minLength} characters or more`);
+    terms.push(`${at.minLength} characters or more`);
   }
-  if (at.pattern !== undefined) words.push(`matching ${at.pattern}`);
-  return words.join(", ");
+  if (at.pattern !== undefined) terms.push(`matching ${at.pattern}`);
+  return terms.join(", ");
 }
--- a/src/model/index.ts
+++ b/src/model/index.ts
@@ -1,5 +1,5 @@
 /**
- * The schemas of what operators declare and the types of what is exchanged.
+ * Schemas of the declared resources, and types that the processes exchange.
  *
  * @module
  */
--- a/src/model/live_state.ts
+++ b/src/model/live_state.ts
@@ -1,6 +1,6 @@
 /**
- * The live state that control hands to the entries. It is not part of the
- * accepted state: it comes from leases and the platform's list.
+ * The live state that control sends to the entries. It is not part of the
+ * accepted state: it is derived from leases and the platform's list of VMs.
  *
  * @module
  */
@@ -12,50 +12,50 @@
   readonly address: string;
   /** Set by the entry itself at a planned stop. */
   readonly leaving: boolean;
-  /** Whether it has many more requests in flight than the others. */
+  /** Whether it has far more requests in flight than the other entries. */
   readonly overloaded: boolean;
 }
 
-/** What the platform's list says of a VM. */
+/** State of a VM according to the platform's list. */
 export type PlatformState = "live" | "leaving" | "missing";
 
-/** What entries are told of the fleet. */
+/** State of the fleet that control sends to the entries. */
 export interface LiveState {
   readonly entries: readonly LiveEntry[];
-  /** State of each upstream's VM; one that is not named counts as live. */
+  /** State of each upstream's VM; a VM that is not listed is live. */
   readonly vms: Readonly<Record<string, PlatformState>>;
 }
 
-/** What has changed in the live state since it was last told. */
+/** Difference to the live state that was sent last. */
 export interface LiveChange {
-  /** Whether it stands for the whole state. */
+  /** Whether it holds the complete state and replaces the previous one. */
   readonly full: boolean;
-  /** Entries that are new or have changed. */
+  /** Added or changed entries. */
   readonly entries: readonly LiveEntry[];
-  /** Entries that are gone. */
+  /** VMs of removed entries. */
   readonly goneEntries: readonly string[];
-  /** VMs whose state is new or has changed. */
+  /** VMs whose state was added or changed. */
   readonly vms: Readonly<Record<string, PlatformState>>;
   /** VMs that are live again. */
   readonly liveVms: readonly string[];
 }
 
-/** A version of the live state: the leader's term, then its own count. */
+/** A version of the live state: the leader's term, then a counter within the term. */
 export interface LiveVersion {
   readonly term: number;
   readonly version: number;
 }
 
-/** An entry's report of what its client accounts ask for. */
+/** An entry's report of its load and of the demand of its client accounts. */
 export interface EntryReport {
   readonly inFlight: number;
-  /** Requests a second wanted, by client account. */
+  /** Demand in requests per second, by client account. */
   readonly demandPerS: Readonly<Record<string, number>>;
-  /** Requests a second wanted, by pool. */
+  /** Demand in requests per second, by pool. */
   readonly poolDemandPerS: Readonly<Record<string, number>>;
 }
 
-/** What an entry may use of a client account's limits. */
+/** An entry's share of a client account's limits. */
 export interface AccountShare {
   readonly requestsPerS?: number;
   readonly maxInFlight?: number;
@@ -64,7 +64,7 @@
 /** An entry's shares, by client account. */
 export type AccountShares = Readonly<Record<string, AccountShare>>;
 
-/** An entry's place on the ring of a pool's capacity; see `src/routing`. */
+/** An entry's interval on the ring of a pool's capacity; see `src/routing`. */
 export interface PoolInterval {
   readonly middle: number;
   readonly part: number;
@@ -73,6 +73,6 @@
 /** All that control grants to one entry. */
 export interface EntryGrant {
   readonly accounts: AccountShares;
-  /** By pool. */
+  /** Intervals by pool. */
   readonly intervals: Readonly<Record<string, PoolInterval>>;
 }
--- a/src/model/outcome.ts
+++ b/src/model/outcome.ts
@@ -5,8 +5,8 @@
  */
 
 /**
- * How a request ended: `done` is a whole answer, `not_run` surely did not run,
- * `failed` ran and came to a known bad end, `unknown` may have run.
+ * How a request ended: `done` got a complete answer, `not_run` certainly did not
+ * run, `failed` ran and failed, `unknown` may have run.
  */
 export type Outcome = "done" | "not_run" | "failed" | "unknown";
 
--- a/src/model/resource_schemas.ts
+++ b/src/model/resource_schemas.ts
@@ -33,7 +33,7 @@
   ),
 );
 
-/** What an engine can do beyond running the steps of its layers. */
+/** Optional features of an engine, beyond running the steps of its layers. */
 export const CAPABILITIES = [
   "kv-transfer",
   "resume",
@@ -43,7 +43,7 @@
   "load-layers",
 ] as const;
 
-/** What an engine can do beyond running the steps of its layers. */
+/** An optional feature of an engine. */
 export type Capability = typeof CAPABILITIES[number];
 
 const CapabilitySchema = Type.Unsafe<Capability>(
@@ -67,13 +67,13 @@
   layersPerS: Type.Optional(
     Type.Number({
       exclusiveMinimum: 0,
-      description: "Layers times tokens that it runs in a second",
+      description: "Throughput: layers times tokens per second",
     }),
   ),
   layers: Type.Optional(LayerRangeSchema),
   capabilities: Type.Optional(Type.Array(CapabilitySchema)),
   drain: Type.Optional(
-    Type.Boolean({ description: "Takes no new work while set" }),
+    Type.Boolean({ description: "While true, no new requests are sent to it" }),
   ),
 }, { additionalProperties: false });
 
@@ -86,28 +86,39 @@
   model: Type.Optional(Name),
   pool: Name,
   priority: Type.Optional(
-    Type.Integer({ minimum: 0, maximum: 9, description: "9 goes first" }),
+    Type.Integer({
+      minimum: 0,
+      maximum: 9,
+      description: "0 to 9; 9 is served first",
+    }),
   ),
   repeatable: Type.Optional(
     Type.Boolean({
-      description: "Whether a request that says nothing may run twice",
+      description:
+        "Whether a request without the repeatable header may run twice",
     }),
   ),
   timeoutMs: Type.Optional(
     Type.Integer({ minimum: 1, maximum: 3_600_000 }),
   ),
   maxQueued: Type.Optional(
-    Type.Integer({ minimum: 0, description: "Requests waiting, per entry" }),
+    Type.Integer({
+      minimum: 0,
+      description: "Largest number of queued requests, per entry",
+    }),
   ),
   maxInFlight: Type.Optional(
-    Type.Integer({ minimum: 1, description: "Requests running, per entry" }),
+    Type.Integer({
+      minimum: 1,
+      description: "Largest number of running requests, per entry",
+    }),
   ),
 }, { additionalProperties: false });
 
 /** A service that callers may ask for. */
 export type ServiceSpec = Static<typeof ServiceSpecSchema>;
 
-/** A model whose layers are spread over upstreams. */
+/** A model whose layers are distributed over upstreams. */
 export const ModelSpecSchema = Type.Object({
   layerCount: Type.Integer({ minimum: 1, maximum: 1_000 }),
   layerBytes: Type.Optional(
@@ -116,7 +127,7 @@
   version: Type.Optional(Type.String()),
 }, { additionalProperties: false });
 
-/** A model whose layers are spread over upstreams. */
+/** A model whose layers are distributed over upstreams. */
 export type ModelSpec = Static<typeof ModelSpecSchema>;
 
 /** An adapter on top of a model. */
@@ -128,7 +139,7 @@
 /** An adapter on top of a model. */
 export type AdapterSpec = Static<typeof AdapterSpecSchema>;
 
-/** A customer: its keys and its limits over all entries together. */
+/** A customer: its API keys and its limits over all entries together. */
 export const ClientAccountSpecSchema = Type.Object({
   keySha256: Type.Array(
     Type.String({ pattern: "^[0-9a-f]{64}$" }),
@@ -137,11 +148,14 @@
   requestsPerS: Type.Optional(Type.Number({ exclusiveMinimum: 0 })),
   maxInFlight: Type.Optional(Type.Integer({ minimum: 1 })),
   weight: Type.Optional(
-    Type.Number({ exclusiveMinimum: 0, description: "Share under overload" }),
+    Type.Number({
+      exclusiveMinimum: 0,
+      description: "Relative share under overload",
+    }),
   ),
 }, { additionalProperties: false });
 
-/** A customer: its keys and its limits over all entries together. */
+/** A customer: its API keys and its limits over all entries together. */
 export type ClientAccountSpec = Static<typeof ClientAccountSpecSchema>;
 
 /** Upstreams that services may use. */
@@ -152,31 +166,31 @@
 /** Upstreams that services may use. */
 export type PoolSpec = Static<typeof PoolSpecSchema>;
 
-/** Somebody who may read or change resources. */
+/** A person or program that may read or change resources. */
 export const OperatorSpecSchema = Type.Object({
   tokenSha256: Type.String({ pattern: "^[0-9a-f]{64}$" }),
   role: Type.Union([Type.Literal("admin"), Type.Literal("viewer")]),
 }, { additionalProperties: false });
 
-/** Somebody who may read or change resources. */
+/** A person or program that may read or change resources. */
 export type OperatorSpec = Static<typeof OperatorSpecSchema>;
 
-/** Where a model's layers are meant to be; written by control itself. */
+/** The desired placement of a model's layers; written by control itself. */
 export const PlacementSpecSchema = Type.Object({
   assignments: Type.Array(
     Type.Object({
       upstream: Name,
       layers: LayerRangeSchema,
-      /** Set once the upstream has confirmed the load. */
+      /** Set once the upstream has confirmed that the layers are loaded. */
       ready: Type.Boolean(),
-      /** Fence of the order: the leader's term and its count. */
+      /** Fencing token of the order: the leader's term and a counter within it. */
       orderTerm: Type.Integer({ minimum: 0 }),
       orderSequence: Type.Integer({ minimum: 0 }),
     }, { additionalProperties: false }),
   ),
 }, { additionalProperties: false });
 
-/** Where a model's layers are meant to be; written by control itself. */
+/** The desired placement of a model's layers; written by control itself. */
 export type PlacementSpec = Static<typeof PlacementSpecSchema>;
 
 /** The schema of each declared kind's `spec`. */
@@ -190,10 +204,10 @@
   placement: PlacementSpecSchema,
 } as const;
 
-/** The kinds of the accepted state. */
+/** A resource kind of the accepted state. */
 export type ResourceKind = keyof typeof SPEC_SCHEMAS;
 
-/** The kinds of the accepted state. */
+/** All resource kinds of the accepted state. */
 export const RESOURCE_KINDS = Object.keys(SPEC_SCHEMAS) as ResourceKind[];
 
 /** The kinds that only control itself writes. */
@@ -217,7 +231,7 @@
   readonly spec: SpecByKind[Kind];
   /** Revision of the accepted state at which it last changed. */
   readonly revision: number;
-  /** How often its spec has changed. */
+  /** Number of times that its spec was set. */
   readonly generation: number;
 }
 
@@ -230,5 +244,5 @@
   readonly resource?: Resource;
 }
 
-/** The text of a resource's name, for use in other schemas. */
+/** Schema of a resource's name, for use in other schemas. */
 export const NameSchema = Name;
--- a/src/resources/apply_change.ts
+++ b/src/resources/apply_change.ts
@@ -24,13 +24,14 @@
 /**
  * Applies a change to the accepted state.
  *
- * The result depends on the state and the command alone, so every replica
- * comes to the same one. Of two changes that name the same revision the first
- * in the log wins; a change whose id was answered before gets that answer.
+ * Deterministic: the result depends only on the state and the command, so all
+ * replicas compute the same one. Of two changes that expect the same revision
+ * the first in the log wins; a change whose id was answered before gets the
+ * recorded answer.
  *
  * @param state - The accepted state.
  * @param command - The change.
- * @returns The next state, the answer, and the change where there was one.
+ * @returns The next state, the answer, and the change if it was accepted now.
  * @throws Nothing.
  * @example
  * const { state: next, result } = applyChange(state, command);
@@ -40,14 +41,14 @@
   command: ChangeCommand,
 ): AppliedChange {
   const fingerprint = getFingerprint(command);
-  const earlier = state.answered.get(command.changeId);
-  if (earlier) {
-    const same = earlier.fingerprint === fingerprint;
-    return { state, result: same ? earlier.result : refuseReuse() };
+  const recorded = state.answered.get(command.changeId);
+  if (recorded) {
+    const same = recorded.fingerprint === fingerprint;
+    return { state, result: same ? recorded.result : rejectReusedChangeId() };
   }
-  const refusal = findRefusal(state, command);
-  const result = refusal ?? { accepted: true, revision: state.revision + 1 };
-  const answered = keepNewest(state.answered, {
+  const rejection = findRejection(state, command);
+  const result = rejection ?? { accepted: true, revision: state.revision + 1 };
+  const answered = addAndTrimOldest(state.answered, {
     key: command.changeId,
     value: { fingerprint, result },
   });
@@ -58,11 +59,11 @@
 }
 
 /**
- * Takes accepted changes into a state: the step that entries share.
+ * Applies accepted changes to a state without checks. Control and entries use it.
  *
  * @param state - The state.
- * @param changes - Changes of higher revisions, in order.
- * @returns The state at the last change's revision.
+ * @param changes - Changes with higher revisions, in order.
+ * @returns The state at the revision of the last change.
  * @throws Nothing.
  * @example
  * const next = takeChanges(state, [change]);
@@ -71,7 +72,8 @@
   state: ResourceState,
   changes: readonly ResourceChange[],
 ): ResourceState {
-  // One copy for all: a whole state comes as a thousand changes.
+  // The map is copied once for all changes: a full state arrives as a thousand
+  // changes.
   const resources = new Map(state.resources);
   for (const { kind, name, resource } of changes) {
     const key = getResourceKey(kind, name);
@@ -88,7 +90,7 @@
   return createHash("sha256").update(JSON.stringify(rest)).digest("hex");
 }
 
-function refuseReuse(): ChangeResult {
+function rejectReusedChangeId(): ChangeResult {
   return {
     accepted: false,
     reason: "change_id_reused",
@@ -98,7 +100,7 @@
   };
 }
 
-function findRefusal(
+function findRejection(
   state: ResourceState,
   command: ChangeCommand,
 ): ChangeResult | undefined {
@@ -159,7 +161,7 @@
   return { revision, kind, name, resource };
 }
 
-function keepNewest<Value>(
+function addAndTrimOldest<Value>(
   map: ReadonlyMap<string, Value>,
   added: { key: string; value: Value },
 ): ReadonlyMap<string, Value> {
--- a/src/resources/create_resource_state.ts
+++ b/src/resources/create_resource_state.ts
@@ -7,7 +7,7 @@
 import type { ResourceState } from "./types.ts";
 
 /**
- * Makes an empty accepted state.
+ * Creates an empty accepted state.
  *
  * @returns A state at revision 0.
  * @throws Nothing.
--- a/src/resources/find_spec_differences.ts
+++ b/src/resources/find_spec_differences.ts
@@ -4,15 +4,15 @@
  * @module
  */
 
-/** Differences that are named at most. */
+/** Maximum number of reported differences. */
 const MAX_DIFFERENCES = 32;
 
 /**
  * Finds the fields in which two specs differ.
  *
- * @param declared - The spec that stands.
+ * @param declared - The current spec.
  * @param sent - The spec that was sent.
- * @returns Field paths joined by dots; an empty one where there was no spec.
+ * @returns Field paths joined by dots; an empty path if one of the specs is missing.
  * @throws Nothing.
  * @example
  * findSpecDifferences({ weight: 1 }, { weight: 2 }); // ["weight"]
--- a/src/resources/get_changes_since.ts
+++ b/src/resources/get_changes_since.ts
@@ -1,5 +1,5 @@
 /**
- * The changes that a watch or an entry lacks.
+ * The changes that a watch or an entry has not received yet.
  *
  * @module
  */
@@ -12,8 +12,8 @@
  *
  * @param state - The accepted state.
  * @param revision - The last revision that the reader has.
- * @returns The changes in order, or undefined where some are no longer kept
- * and the reader has to list anew.
+ * @returns The changes in order, or undefined if some of them are no longer kept
+ * and the reader has to list again.
  * @throws Nothing.
  * @example
  * const changes = getChangesSince(state, 41) ?? "relist";
@@ -24,7 +24,7 @@
 ): readonly ResourceChange[] | undefined {
   if (revision > state.revision) return undefined;
   if (revision === state.revision) return [];
-  const lacking = state.revision - revision;
-  if (lacking > state.history.length) return undefined;
-  return state.history.slice(-lacking);
+  const missingCount = state.revision - revision;
+  if (missingCount > state.history.length) return undefined;
+  return state.history.slice(-missingCount);
 }
--- a/src/resources/get_resource_key.ts
+++ b/src/resources/get_resource_key.ts
@@ -7,7 +7,7 @@
 import type { ResourceKind } from "../model/index.ts";
 
 /**
- * Gets the key under which a resource is kept.
+ * Gets the key under which a resource is stored.
  *
  * @param kind - The resource's kind.
  * @param name - Its name.
--- a/src/resources/index.ts
+++ b/src/resources/index.ts
@@ -1,5 +1,5 @@
 /**
- * The accepted state: resources, changes, and what watches are told.
+ * The accepted state: resources, their changes, and the history for watches.
  *
  * @module
  */
@@ -11,5 +11,5 @@
 export * from "./get_changes_since.ts";
 export * from "./get_resource_key.ts";
 export * from "./list_resources.ts";
-export * from "./snapshot_text.ts";
+export * from "./resource_state_data.ts";
 export * from "./types.ts";
--- a/src/resources/list_resources.ts
+++ b/src/resources/list_resources.ts
@@ -12,7 +12,7 @@
  *
  * @param state - The accepted state.
  * @param kind - The kind.
- * @returns Its resources, in the order of their names.
+ * @returns Its resources, sorted by name.
  * @throws Nothing.
  * @example
  * const services = listResources(state, "service");
--- a/src/resources/snapshot_text.ts
+++ b/src/resources/resource_state_data.ts
@@ -1,5 +1,5 @@
 /**
- * The accepted state as text, for snapshots and entries' disks.
+ * The accepted state as plain JSON, for snapshots and the entries' disks.
  *
  * @module
  */
@@ -17,7 +17,7 @@
 }
 
 /**
- * Gets the accepted state as plain JSON data.
+ * Converts the accepted state to plain JSON data.
  *
  * @param state - The accepted state.
  * @returns Its data.
@@ -35,9 +35,9 @@
 }
 
 /**
- * Makes the accepted state from its data.
+ * Restores the accepted state from its data.
  *
- * @param data - What {@link getResourceStateData} gave.
+ * @param data - The result of {@link getResourceStateData}.
  * @returns The state.
  * @throws Nothing.
  * @example
--- a/src/resources/resources_test.ts
+++ b/src/resources/resources_test.ts
@@ -38,7 +38,7 @@
   assert.is(state.resources.get("clientAccount/dock")?.generation, 1);
 });
 
-test("of two operators with the same revision one wins, the other sees what differs", () => {
+test("of two changes that expect the same revision the first wins, the other gets the differing fields", () => {
   const state = applyAll([makeChange()]);
   const change = (changeId: string, weight: number) =>
     makeChange({
@@ -56,7 +56,7 @@
   assert.equal(second.result.differs, ["weight"]);
 });
 
-test("a change that is sent again gets the first answer, also from a snapshot", () => {
+test("a retried change gets the first answer, also after a restore from a snapshot", () => {
   const state = applyAll([
     makeChange(),
     makeChange({ changeId: "c2", expectedRevision: 1 }),
@@ -71,13 +71,13 @@
   }
 });
 
-test("a change id that was used for another change is refused", () => {
+test("a change id that was used for another change is rejected", () => {
   const state = applyAll([makeChange()]);
   const { result } = applyChange(state, makeChange({ name: "other" }));
   assert.ok(!result.accepted && result.reason === "change_id_reused");
 });
 
-test("a wrong spec is refused and names each field", () => {
+test("an invalid spec is rejected with a message that names each field", () => {
   const { result } = applyChange(
     createResourceState(),
     makeChange({ spec: { keySha256: [], wieght: 1 } }),
@@ -88,7 +88,7 @@
   assert.match(result.detail, /wieght: found 1, allowed is no such field/);
 });
 
-test("what is deleted is gone, and can't be deleted again", () => {
+test("a deleted resource is removed and can't be deleted again", () => {
   const remove = makeChange({
     changeId: "c2",
     action: "delete",
@@ -101,7 +101,7 @@
   assert.ok(!again.result.accepted && again.result.reason === "not_found");
 });
 
-test("changes since a revision come in order without gaps, or as a relist", () => {
+test("changes since a revision are in order and without gaps; undefined if some are no longer kept", () => {
   const commands = Array.from(
     { length: MAX_HISTORY_CHANGES + 10 },
     (_v, at) => makeChange({ changeId: `c${at}`, expectedRevision: at }),
--- a/src/resources/types.ts
+++ b/src/resources/types.ts
@@ -6,42 +6,42 @@
 
 import type { Resource, ResourceChange, ResourceKind } from "../model/index.ts";
 
-/** A change of one resource, as it stands in the log. */
+/** A change of one resource, as recorded in the quorum log. */
 export interface ChangeCommand {
   readonly type: "change";
-  /** Names the change; sent again, it gets the first answer. */
+  /** Identifies the change; a retry with the same id gets the first answer. */
   readonly changeId: string;
   readonly operator: string;
   readonly action: "put" | "delete";
   readonly kind: ResourceKind;
   readonly name: string;
-  /** The new spec; absent where it is deleted. */
+  /** The new spec; absent for a deletion. */
   readonly spec?: unknown;
-  /** The revision that was read; 0 to create. */
+  /** The revision that the operator has read; 0 to create the resource. */
   readonly expectedRevision: number;
 }
 
-/** Why a change was turned down. */
+/** Why a change was rejected. */
 export type ChangeRefusal =
   | "conflict"
   | "not_found"
   | "invalid"
   | "change_id_reused";
 
-/** What became of a change. */
+/** The answer to a change. */
 export type ChangeResult =
   | { readonly accepted: true; readonly revision: number }
   | {
     readonly accepted: false;
     readonly reason: ChangeRefusal;
     readonly detail: string;
-    /** Revision that the resource has; 0 where there is none. */
+    /** Current revision of the resource; 0 if it does not exist. */
     readonly currentRevision: number;
-    /** Fields in which the declared spec differs from the one sent. */
+    /** Fields in which the current spec differs from the one sent. */
     readonly differs: readonly string[];
   };
 
-/** An answered change, kept so that a repeat gets the same answer. */
+/** The answer to a change, kept so that a retry gets the same one. */
 export interface AnsweredChange {
   readonly fingerprint: string;
   readonly result: ChangeResult;
@@ -49,19 +49,19 @@
 
 /** The accepted state. */
 export interface ResourceState {
-  /** Counts accepted changes; it never falls. */
+  /** Number of accepted changes; never decreases. */
   readonly revision: number;
   readonly resources: ReadonlyMap<string, Resource>;
-  /** Answers by change id, the oldest first. */
+  /** Answers by change id, oldest first. */
   readonly answered: ReadonlyMap<string, AnsweredChange>;
-  /** The newest changes, without gaps, the oldest first. */
+  /** The most recent changes, without gaps, oldest first. */
   readonly history: readonly ResourceChange[];
 }
 
-/** A state after a change, and what became of the change. */
+/** The state after a change, and the answer to it. */
 export interface AppliedChange {
   readonly state: ResourceState;
   readonly result: ChangeResult;
-  /** Set where the change was accepted now, not on a repeat. */
+  /** Set if the change was accepted now; absent for a retry of an answered one. */
   readonly change?: ResourceChange;
 }
