--- a/src/bin/crowlever.ts
+++ b/src/bin/crowlever.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * `crowlever`: the operators' command line.
+ * `crowlever`: the command line for operators.
  *
  * @module
  */
--- a/src/bin/crowlever_control.ts
+++ b/src/bin/crowlever_control.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * `crowlever-control`: quorum, resource interface, sessions with entries.
+ * `crowlever-control`: quorum, resource API, sessions with entries.
  *
  * @module
  */
@@ -14,8 +14,8 @@
   program: "crowlever-control",
   schema: ControlSettingsSchema,
   flags: {
-    form: "Form a new cluster here; on one VM, once",
-    inspect: "Print the data folder and end",
+    form: "Form a new cluster; run once, on one VM only",
+    inspect: "Print the contents of the data folder and exit",
   },
   async inspect({ settings, flags }) {
     if (!flags.inspect) return false;
--- a/src/bin/crowlever_entry.ts
+++ b/src/bin/crowlever_entry.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * `crowlever-entry`: the callers' side.
+ * `crowlever-entry`: serves the requests of callers.
  *
  * @module
  */
--- a/src/bin/run_program.ts
+++ b/src/bin/run_program.ts
@@ -1,5 +1,5 @@
 /**
- * What all server programs share: arguments, settings, signals, exit codes.
+ * Common code of the server programs: arguments, settings, signals, exit codes.
  *
  * @module
  */
@@ -11,22 +11,22 @@
 import { createMetrics, type Metrics } from "../metrics/index.ts";
 import { loadSettings, SettingsError } from "../settings/index.ts";
 
-/** Exit code of wrong settings or arguments. */
-export const EXIT_WRONG_SETTINGS = 2;
+/** Exit code for invalid settings or arguments. */
+export const EXIT_INVALID_SETTINGS = 2;
 
-/** Exit code of a refused data folder or a listener that can't be opened. */
+/** Exit code for a rejected data folder or a listener that can't be opened. */
 export const EXIT_START_FAILED = 3;
 
-/** Exit code of a broken invariant or an unexpected error. */
+/** Exit code for a violated invariant or an unexpected error. */
 export const EXIT_FATAL = 4;
 
 /** A started program. */
 export interface RunningProgram {
-  /** A planned stop: lets all in flight finish. */
+  /** Shuts down gracefully: requests in flight finish first. */
   stop(): Promise<void>;
 }
 
-/** What a program is given to start. */
+/** The context in which a program starts. */
 export interface ProgramContext<Settings> {
   readonly settings: Settings;
   readonly flags: Readonly<Record<string, boolean>>;
@@ -35,13 +35,13 @@
   readonly onFatal: (error: unknown) => void;
 }
 
-/** A server program. */
+/** Options of {@link runProgram}. */
 export interface ProgramOptions<Schema extends TSchema> {
   readonly program: string;
   readonly schema: Schema;
-  /** Names of its own boolean flags, with their help. */
+  /** Boolean flags of this program: help texts by name. */
   readonly flags?: Readonly<Record<string, string>>;
-  /** Runs instead of the start where it returns true. */
+  /** Runs before the start; the program isn't started if it returns true. */
   readonly inspect?: (
     context: ProgramContext<Static<Schema>>,
   ) => Promise<boolean>;
@@ -56,10 +56,10 @@
 }
 
 /**
- * Runs a server program until a signal ends it.
+ * Runs a server program until a signal stops it.
  *
- * @param options - The program's name, settings and start.
- * @returns Nothing; the process ends with an exit code.
+ * @param options - The program's name, settings schema, flags and start function.
+ * @returns Nothing; the process exits with an exit code.
  * @throws Nothing.
  * @example
  * await runProgram({ program: "crowlever-entry", schema, start });
@@ -75,11 +75,11 @@
     settings = await loadSettings(String(values.settings), schema);
   } catch (error) {
     process.stderr.write(`${describeSettingsError(error)}\n`);
-    process.exitCode = EXIT_WRONG_SETTINGS;
+    process.exitCode = EXIT_INVALID_SETTINGS;
     return;
   }
   if (values.check) {
-    process.stdout.write(`${values.settings}: settings are right\n`);
+    process.stdout.write(`${values.settings}: settings are valid\n`);
     return;
   }
   const common = settings as CommonSettings;
@@ -117,23 +117,23 @@
     process.exit(EXIT_START_FAILED);
     return;
   }
-  await untilSignal(log);
+  await waitForStopSignal(log);
   await running.stop();
   await metrics[Symbol.asyncDispose]();
   log("stopped");
   process.exit(0);
 }
 
-function untilSignal(log: Logger): Promise<void> {
+function waitForStopSignal(log: Logger): Promise<void> {
   return new Promise((resolve) => {
     let stopping = false;
-    const take = (): void => {
+    const onSignal = (): void => {
       if (stopping) log("signalRepeated");
       stopping = true;
       resolve();
     };
-    process.on("SIGTERM", take);
-    process.on("SIGINT", take);
+    process.on("SIGTERM", onSignal);
+    process.on("SIGINT", onSignal);
   });
 }
 
@@ -141,7 +141,7 @@
   program: string,
   flags: Readonly<Record<string, string>>,
 ): Record<string, string | boolean> | undefined {
-  const own = Object.fromEntries(
+  const programFlags = Object.fromEntries(
     Object.keys(flags).map((flag) => [flag, { type: "boolean" as const }]),
   );
   try {
@@ -150,16 +150,16 @@
         settings: { type: "string" },
         check: { type: "boolean" },
         help: { type: "boolean" },
-        ...own,
+        ...programFlags,
       },
     });
     if (values.settings !== undefined && !values.help) {
       return values as Record<string, string | boolean>;
     }
-    process.exitCode = values.help ? 0 : EXIT_WRONG_SETTINGS;
+    process.exitCode = values.help ? 0 : EXIT_INVALID_SETTINGS;
   } catch (error) {
     process.stderr.write(`${(error as Error).message}\n`);
-    process.exitCode = EXIT_WRONG_SETTINGS;
+    process.exitCode = EXIT_INVALID_SETTINGS;
   }
   process.stderr.write(formatHelp(program, flags));
   return undefined;
@@ -175,11 +175,11 @@
   return [
     `Usage: ${program} --settings FILE [--check]`,
     "",
-    "  --settings FILE  Settings, JSON with comments",
-    "  --check          Only check the settings: exit code 0 or 2",
+    "  --settings FILE  Settings file, JSON with comments",
+    "  --check          Only validate the settings: exit code 0 or 2",
     ...lines,
     "",
-    "Exit codes: 0 planned end, 2 wrong settings, 3 refused start, 4 fatal",
+    "Exit codes: 0 stopped, 2 invalid settings, 3 start failed, 4 fatal error",
     "",
   ].join("\n");
 }
--- a/src/cli/apply_resources.ts
+++ b/src/cli/apply_resources.ts
@@ -1,5 +1,5 @@
 /**
- * Declares the resources of a file.
+ * Applies the resources that a file declares.
  *
  * @module
  */
@@ -18,14 +18,14 @@
   OperatorRequestError,
 } from "./create_operator_client.ts";
 
-/** A resource as a file declares it. */
+/** A resource as declared in a file. */
 export interface DeclaredResource {
   readonly kind: ResourceKind;
   readonly name: string;
   readonly spec: unknown;
 }
 
-/** What became of a declared resource. */
+/** The result of applying a declared resource. */
 export interface AppliedResource {
   readonly kind: ResourceKind;
   readonly name: string;
@@ -34,12 +34,12 @@
 }
 
 /**
- * Reads the resources of a file and checks them.
+ * Parses and validates the resources of a file.
  *
- * @param text - JSON with comments: an array of kind, name and spec.
- * @param options - The file's name, for messages.
+ * @param text - JSON with comments: an array of objects with kind, name and spec.
+ * @param options - The file's name, for error messages.
  * @returns The resources.
- * @throws {CliError} Naming all that is wrong.
+ * @throws {CliError} With all problems found.
  * @example
  * const declared = parseResources(text, { file: "fleet.jsonc" });
  */
@@ -58,7 +58,7 @@
     throw new CliError(lines.join("\n"));
   }
   if (!Array.isArray(value)) {
-    throw new CliError(`${file}: found no array of resources`);
+    throw new CliError(`${file}: expected an array of resources`);
   }
   const declared = value as DeclaredResource[];
   const problems = declared.flatMap((resource, at) =>
@@ -73,21 +73,21 @@
   options: { file: string; at: number },
 ): string[] {
   const { kind, name, spec } = resource;
-  const place = `${options.file}: item ${options.at} (${kind}/${name})`;
+  const location = `${options.file}: item ${options.at} (${kind}/${name})`;
   const schema = SPEC_SCHEMAS[kind];
-  if (!schema) return [`${place}: there is no kind ${kind}`];
+  if (!schema) return [`${location}: unknown kind ${kind}`];
   return findSchemaProblems(schema, spec).map(({ field, found, allowed }) =>
-    `${place}: ${field || "spec"}: found ${found}, allowed is ${allowed}`
+    `${location}: ${field || "spec"}: found ${found}, allowed is ${allowed}`
   );
 }
 
 /**
- * Declares resources one by one, each only where it differs.
+ * Applies resources one by one, and only those that differ from the current ones.
  *
- * @param client - The operators' client.
+ * @param client - The operator client.
  * @param declared - The resources.
- * @returns What became of each.
- * @throws {OperatorRequestError} Where control turns one down.
+ * @returns The result of each.
+ * @throws {OperatorRequestError} If control rejects one of them.
  * @example
  * const applied = await applyResources(client, declared);
  */
@@ -108,9 +108,9 @@
 ): Promise<AppliedResource> {
   const path = `/v1/resources/${kind}/${name}`;
   const current = await readCurrent(client, path);
-  const same = current !== undefined &&
+  const isUnchanged = current !== undefined &&
     findSpecDifferences(current.spec, spec).length === 0;
-  if (same) {
+  if (isUnchanged) {
     return { kind, name, result: "unchanged", revision: current.revision };
   }
   const revision = current?.revision ?? 0;
--- a/src/cli/base_command.ts
+++ b/src/cli/base_command.ts
@@ -1,5 +1,5 @@
 /**
- * What all commands of `crowlever` share: addresses, token, output, exit codes.
+ * Common code of the `crowlever` commands: addresses, token, output, exit codes.
  *
  * @module
  */
@@ -13,24 +13,24 @@
 } from "./create_operator_client.ts";
 import { formatTable, type Row } from "./format_table.ts";
 
-/** Exit code: control turned the call down. */
+/** Exit code: control rejected the call. */
 export const EXIT_REFUSED = 1;
 
-/** Exit code: wrong arguments, file or settings. */
+/** Exit code: invalid arguments, file or settings. */
 export const EXIT_USAGE = 2;
 
-/** Exit code: the resource has another revision than the one read. */
+/** Exit code: the resource has changed since it was read. */
 export const EXIT_CONFLICT = 3;
 
-/** Exit code: no control process answered, or nobody leads. */
+/** Exit code: no control process answered, or there is no leader. */
 export const EXIT_UNAVAILABLE = 4;
 
-/** How results are printed. */
+/** Output formats of results. */
 export type OutputFormat = "table" | "json" | "name";
 
 const RESOURCE_NAME = /^([a-zA-Z]+)\/([a-z0-9.-]+)$/;
 
-/** Base of all commands. */
+/** Base class of all commands. */
 export abstract class BaseCommand extends Command {
   static override baseFlags = {
     control: Flags.string({
@@ -46,7 +46,7 @@
     }),
     output: Flags.option({
       char: "o",
-      description: "How results are printed",
+      description: "Output format of results",
       options: ["table", "json", "name"] as const,
       default: "table" as const,
     })(),
@@ -59,7 +59,7 @@
     return createOperatorClient({ addresses, token: flags.token });
   }
 
-  /** Prints rows, or the whole value as JSON, or `kind/name` lines. */
+  /** Prints the rows as a table, the value as JSON, or a `kind/name` line per row. */
   protected print(
     value: unknown,
     options: { output: OutputFormat; rows: readonly Row[] },
@@ -70,11 +70,11 @@
     else for (const row of rows) this.log(formatName(row));
   }
 
-  /** Splits `kind/name`. */
+  /** Splits `kind/name`; exits with an error if the text is not of this form. */
   protected parseName(text: string): { kind: string; name: string } {
     const match = RESOURCE_NAME.exec(text);
     if (!match) {
-      this.error(`Found ${text}, allowed is kind/name`, { exit: EXIT_USAGE });
+      this.error(`Expected kind/name, found ${text}`, { exit: EXIT_USAGE });
     }
     return { kind: match[1], name: match[2] };
   }
--- a/src/cli/commands/apply.ts
+++ b/src/cli/commands/apply.ts
@@ -1,5 +1,5 @@
 /**
- * `crowlever apply`: declares the resources of a file.
+ * `crowlever apply`: applies the resources of a file.
  *
  * @module
  */
@@ -10,9 +10,9 @@
 import { BaseCommand, EXIT_USAGE } from "../base_command.ts";
 import { CliError } from "../create_operator_client.ts";
 
-/** Declares the resources of a file, each only where it differs. */
+/** Creates or changes the resources of a file that differ from the current ones. */
 export class ApplyCommand extends BaseCommand {
-  static override summary = "Declare the resources of a file";
+  static override summary = "Create or change the resources of a file";
   static override examples = [
     "<%= config.bin %> apply -f fleet.jsonc",
     "<%= config.bin %> apply -f fleet.jsonc --check",
@@ -21,9 +21,10 @@
     file: Flags.string({
       char: "f",
       required: true,
-      description: "JSON with comments: an array of kind, name and spec",
+      description:
+        "JSON with comments: an array of objects with kind, name and spec",
     }),
-    check: Flags.boolean({ description: "Only check the file" }),
+    check: Flags.boolean({ description: "Only validate the file" }),
   };
 
   /** Runs the command. */
@@ -31,7 +32,7 @@
     const { flags } = await this.parse(ApplyCommand);
     const declared = await this.read(flags.file);
     if (flags.check) {
-      this.log(`${flags.file}: ${declared.length} resources are right`);
+      this.log(`${flags.file}: ${declared.length} resources are valid`);
       return;
     }
     const applied = await applyResources(this.makeClient(flags), declared);
@@ -43,9 +44,9 @@
     try {
       return parseResources(await readFile(file, "utf8"), { file });
     } catch (error) {
-      const known = error instanceof CliError ||
+      const isExpected = error instanceof CliError ||
         (error as NodeJS.ErrnoException).code !== undefined;
-      if (!known) throw error;
+      if (!isExpected) throw error;
       this.error((error as Error).message, { exit: EXIT_USAGE });
     }
   }
--- a/src/cli/commands/check.ts
+++ b/src/cli/commands/check.ts
@@ -1,5 +1,5 @@
 /**
- * `crowlever check`: checks settings and resource files without a fleet.
+ * `crowlever check`: validates settings and resource files offline.
  *
  * @module
  */
@@ -16,19 +16,19 @@
 import { BaseCommand, EXIT_USAGE } from "../base_command.ts";
 import { CliError } from "../create_operator_client.ts";
 
-/** Checks a file and names all that is wrong at once. */
+/** Validates a file and reports all problems at once. */
 export class CheckCommand extends BaseCommand {
-  static override summary = "Check a settings or resource file";
+  static override summary = "Validate a settings or resource file";
   static override examples = [
     "<%= config.bin %> check fleet.jsonc --as resources",
     "<%= config.bin %> check entry.jsonc --as entry",
   ];
   static override args = {
-    file: Args.string({ required: true, description: "The file" }),
+    file: Args.string({ required: true, description: "Path of the file" }),
   };
   static override flags = {
     as: Flags.option({
-      description: "What the file is",
+      description: "Type of the file: resources, or the settings of a program",
       options: ["resources", "entry", "control"] as const,
       default: "resources" as const,
     })(),
@@ -41,13 +41,13 @@
     try {
       checkText(await readFile(file, "utf8"), { file, as: flags.as });
     } catch (error) {
-      const known = error instanceof CliError ||
+      const isExpected = error instanceof CliError ||
         error instanceof SettingsError ||
         (error as NodeJS.ErrnoException).code !== undefined;
-      if (!known) throw error;
+      if (!isExpected) throw error;
       this.error((error as Error).message, { exit: EXIT_USAGE });
     }
-    this.log(`${file}: right`);
+    this.log(`${file}: valid`);
   }
 }
 
--- a/src/cli/commands/delete.ts
+++ b/src/cli/commands/delete.ts
@@ -7,7 +7,7 @@
 import { Args, Flags } from "@oclif/core";
 import { BaseCommand } from "../base_command.ts";
 
-/** Deletes a resource at the revision that was read. */
+/** Deletes a resource if it still has the expected revision. */
 export class DeleteCommand extends BaseCommand {
   static override summary = "Delete a resource";
   static override examples = [
@@ -19,7 +19,7 @@
   };
   static override flags = {
     revision: Flags.integer({
-      description: "Revision that it must have; by default the present one",
+      description: "Expected revision; by default the current one",
     }),
   };
 
--- a/src/cli/commands/drain.ts
+++ b/src/cli/commands/drain.ts
@@ -1,5 +1,5 @@
 /**
- * `crowlever drain`: stops new work at an upstream.
+ * `crowlever drain`: stops sending new requests to an upstream.
  *
  * @module
  */
@@ -14,20 +14,24 @@
   readonly revision: number;
 }
 
-/** Stops new work at an upstream, or lets it in again. */
+/** Stops sending new requests to an upstream, or resumes it. */
 export class DrainCommand extends BaseCommand {
-  static override summary = "Stop new work at an upstream; what runs, finishes";
+  static override summary =
+    "Stop sending new requests to an upstream; running ones finish";
   static override description =
-    "An entry or control process is drained by its own planned stop: send it SIGTERM.";
+    "To drain an entry or control process, send it SIGTERM: it shuts down gracefully.";
   static override examples = [
     "<%= config.bin %> drain engine-7",
     "<%= config.bin %> drain engine-7 --undo",
   ];
   static override args = {
-    upstream: Args.string({ required: true, description: "The upstream" }),
+    upstream: Args.string({
+      required: true,
+      description: "Name of the upstream",
+    }),
   };
   static override flags = {
-    undo: Flags.boolean({ description: "Let new work in again" }),
+    undo: Flags.boolean({ description: "Send new requests to it again" }),
   };
 
   /** Runs the command. */
@@ -41,7 +45,7 @@
       spec.upstreams.some(({ name }) => name === args.upstream)
     );
     if (!pool) {
-      this.error(`No pool has an upstream ${args.upstream}`, {
+      this.error(`No pool contains an upstream named ${args.upstream}`, {
         exit: EXIT_USAGE,
       });
     }
@@ -55,10 +59,10 @@
       path: `/v1/resources/pool/${pool.name}`,
       body: { spec: { upstreams }, revision: pool.revision },
     });
-    const done = flags.undo ? "takes new work" : "drains";
+    const status = flags.undo ? "accepts new requests" : "drains";
     const rows = [{
       name: args.upstream,
-      result: done,
+      result: status,
       revision: result.revision,
     }];
     this.print(result, { output: flags.output, rows });
--- a/src/cli/commands/entries.ts
+++ b/src/cli/commands/entries.ts
@@ -1,5 +1,5 @@
 /**
- * `crowlever entries`: the entries that callers are told of.
+ * `crowlever entries`: lists the entries that are published to callers.
  *
  * @module
  */
@@ -16,9 +16,9 @@
   }[];
 }
 
-/** Shows the entries that callers are told of. */
+/** Lists the entries that are published to callers. */
 export class EntriesCommand extends BaseCommand {
-  static override summary = "Show the entries that callers are told of";
+  static override summary = "List the entries that are published to callers";
   static override examples = ["<%= config.bin %> entries -o name"];
 
   /** Runs the command. */
--- a/src/cli/commands/explain.ts
+++ b/src/cli/commands/explain.ts
@@ -1,5 +1,5 @@
 /**
- * `crowlever explain`: why something is as it is.
+ * `crowlever explain`: explains the state of a resource or of a request.
  *
  * @module
  */
@@ -17,12 +17,12 @@
   readonly steps: readonly { atMs: number; what: string }[];
 }
 
-/** Says why declared and live state differ, or what became of a request. */
+/** Explains why declared and live state differ, or what happened to a request. */
 export class ExplainCommand extends BaseCommand {
   static override summary =
-    "Say why a resource is not in force yet, or what became of a request";
+    "Explain why a resource is not in force yet, or what happened to a request";
   static override description =
-    "With kind/name: what differs, why, and what is being done. With a request's id, --entry and --key: the steps of the request. With a request's id and --logs: its lines in the logs of all processes, in the order of time.";
+    "With kind/name: what differs, why, and what is being done about it. With a request id, --entry and --key: the steps of the request. With a request id and --logs: its lines in the logs of all processes, in chronological order.";
   static override examples = [
     "<%= config.bin %> explain service/drafting",
     "<%= config.bin %> explain entry-1-mf2k-17 --entry http://10.0.0.7:8080 --key KEY",
@@ -32,14 +32,16 @@
   static override args = {
     what: Args.string({
       required: true,
-      description: "kind/name, or a request's id",
+      description: "kind/name, or a request id",
     }),
   };
   static override flags = {
-    entry: Flags.string({ description: "Address of the entry that served it" }),
-    key: Flags.string({ description: "Key of the client account" }),
+    entry: Flags.string({
+      description: "Address of the entry that served the request",
+    }),
+    key: Flags.string({ description: "API key of the client account" }),
     logs: Flags.string({
-      description: "File of log lines; - is the standard input",
+      description: "Log file; - reads the standard input",
       multiple: true,
     }),
   };
@@ -77,7 +79,7 @@
     const lines = texts.flatMap((one) => one.split("\n"));
     const traced = traceRequest(lines, { requestId });
     if (traced.length === 0) {
-      this.error(`No line tells of request ${requestId}`, {
+      this.error(`No log line found for request ${requestId}`, {
         exit: EXIT_REFUSED,
       });
     }
@@ -114,7 +116,7 @@
   return file === "-" ? text(process.stdin) : readFile(file, "utf8");
 }
 
-// The request's id stands in every line that is its own.
+// Every line of the request contains its id, so that field is left out.
 function formatFields(fields: Readonly<Record<string, unknown>>): string {
   return Object.entries(fields)
     .filter(([name]) => name !== "requestId")
--- a/src/cli/commands/get.ts
+++ b/src/cli/commands/get.ts
@@ -1,5 +1,5 @@
 /**
- * `crowlever get`: shows declared or live resources.
+ * `crowlever get`: shows declared resources or live state.
  *
  * @module
  */
@@ -20,7 +20,7 @@
 export class GetCommand extends BaseCommand {
   static override summary = "Show the resources of a kind, or one of them";
   static override description =
-    "Kinds that are declared: service, model, adapter, clientAccount, pool, operator. Live state: entry, upstream, placement.";
+    "Declared kinds: service, model, adapter, clientAccount, pool, operator. Live state: entry, upstream, placement.";
   static override examples = [
     "<%= config.bin %> get service",
     "<%= config.bin %> get pool/engines -o json",
--- a/src/cli/commands/index.ts
+++ b/src/cli/commands/index.ts
@@ -1,5 +1,5 @@
 /**
- * The commands of `crowlever`, as oclif finds them.
+ * The commands of `crowlever`, in the form that oclif loads.
  *
  * @module
  */
--- a/src/cli/commands/quarantine.ts
+++ b/src/cli/commands/quarantine.ts
@@ -1,5 +1,5 @@
 /**
- * `crowlever quarantine`: requests that upstreams ended under.
+ * `crowlever quarantine`: requests that are suspected of crashing upstreams.
  *
  * @module
  */
@@ -17,18 +17,18 @@
 
 const MS_PER_S = 1_000;
 
-/** Shows who is suspected or held back, and lets a request go free. */
+/** Lists the suspected requests, or releases one of them. */
 export class QuarantineCommand extends BaseCommand {
   static override summary =
-    "Show which requests are suspected of ending upstreams, or lift a hold";
+    "List the requests suspected of crashing upstreams, or release one";
   static override description =
-    "The key of a request stands in the log lines of its sends (requestKey).";
+    "The key of a request is in the log lines of its sends (requestKey).";
   static override examples = [
     "<%= config.bin %> quarantine",
     "<%= config.bin %> quarantine --lift tpuWNBAVasfkS-O8",
   ];
   static override flags = {
-    lift: Flags.string({ description: "Key of a request that is to go free" }),
+    lift: Flags.string({ description: "Key of the request to release" }),
   };
 
   /** Runs the command. */
@@ -38,7 +38,7 @@
     if (flags.lift !== undefined) {
       const path = `/v1/quarantine/${encodeURIComponent(flags.lift)}`;
       await client.call({ method: "DELETE", path });
-      return this.log(`${flags.lift} is lifted`);
+      return this.log(`${flags.lift} is released`);
     }
     const found = await client.call<Quarantine>({ path: "/v1/quarantine" });
     const rows = found.cases.map(({ requestKey, engineIds, heldMs }) => ({
--- a/src/cli/commands/status.ts
+++ b/src/cli/commands/status.ts
@@ -1,5 +1,5 @@
 /**
- * `crowlever status`: shows the fleet.
+ * `crowlever status`: shows the state of the fleet.
  *
  * @module
  */
@@ -22,9 +22,10 @@
   }[];
 }
 
-/** Shows who leads, what is accepted and in force, and who lags. */
+/** Shows the leader, the accepted and applied revisions, and lagging entries. */
 export class StatusCommand extends BaseCommand {
-  static override summary = "Show who leads, what is in force and who lags";
+  static override summary =
+    "Show the leader, the applied revision and lagging entries";
   static override examples = ["<%= config.bin %> status"];
 
   /** Runs the command. */
--- a/src/cli/commands/watch.ts
+++ b/src/cli/commands/watch.ts
@@ -1,5 +1,5 @@
 /**
- * `crowlever watch`: follows changes.
+ * `crowlever watch`: prints changes as they are accepted.
  *
  * @module
  */
@@ -7,11 +7,11 @@
 import { Args, Flags } from "@oclif/core";
 import { BaseCommand, EXIT_UNAVAILABLE } from "../base_command.ts";
 
-/** Follows changes as they are accepted. */
+/** Prints changes as they are accepted. */
 export class WatchCommand extends BaseCommand {
   static override summary = "Follow changes as they are accepted";
   static override description =
-    "Prints a line for each change. A relist line means that older changes are no longer kept: list anew, then watch from that revision.";
+    "Prints a line for each change. A relist line means that older changes are no longer kept: list the resources again, then watch from that revision.";
   static override examples = [
     "<%= config.bin %> watch",
     "<%= config.bin %> watch clientAccount --since 120 -o json",
@@ -20,8 +20,10 @@
     kind: Args.string({ description: "Only changes of this kind" }),
   };
   static override flags = {
-    since: Flags.integer({ description: "Revision after which to begin" }),
-    count: Flags.integer({ description: "Changes after which to end" }),
+    since: Flags.integer({ description: "Revision after which to start" }),
+    count: Flags.integer({
+      description: "Number of changes after which to exit",
+    }),
   };
 
   /** Runs the command. */
--- a/src/cli/create_operator_client.ts
+++ b/src/cli/create_operator_client.ts
@@ -1,5 +1,5 @@
 /**
- * The operators' client: finds the leader, repeats what is safe to repeat.
+ * The operator client: finds the leader and retries calls.
  *
  * @module
  */
@@ -9,10 +9,10 @@
 import ModernError from "modern-errors";
 import { request } from "undici";
 
-/** Base of all errors of the command line. */
+/** Base class of all errors of the command line. */
 export const CliError = ModernError.subclass("CliError");
 
-/** Control answered with a problem, or not at all. */
+/** Control answered with a problem document, or not at all. */
 export const OperatorRequestError = CliError.subclass("OperatorRequestError", {
   props: {
     status: 0,
@@ -21,31 +21,31 @@
   },
 });
 
-/** One call of the resource interface. */
+/** A call of the resource API. */
 export interface OperatorCall {
   readonly method?: "GET" | "PUT" | "DELETE" | "POST";
   readonly path: string;
   readonly body?: unknown;
-  /** Names the change; a new one by default. */
+  /** Identifies the change; by default a new id. */
   readonly changeId?: string;
 }
 
-/** The operators' client. */
+/** The operator client. */
 export interface OperatorClient {
-  /** Resolves with the answer's document. */
+  /** Makes a call and resolves with the document of the answer. */
   call<Answer>(call: OperatorCall): Promise<Answer>;
-  /** Lines of a watch, until it ends. */
+  /** Yields the lines of a watch until the connection ends. */
   watch(options: WatchOptions): AsyncGenerator<WatchLine>;
 }
 
-/** From where to watch. */
+/** Filter and start of a watch. */
 export interface WatchOptions {
   readonly kind?: string;
   readonly since?: number;
   readonly signal?: AbortSignal;
 }
 
-/** One line of a watch. */
+/** A line of a watch. */
 export interface WatchLine {
   readonly type: "change" | "bookmark" | "relist";
   readonly revision: number;
@@ -59,20 +59,20 @@
   /** Addresses of the control processes, `host:port` or with a scheme. */
   readonly addresses: readonly string[];
   readonly token: string;
-  /** Time, in ms, until an answer must have come. */
+  /** Time limit for a call, with all attempts, in ms. */
   readonly timeoutMs?: number;
 }
 
-/** Time, in ms, until an answer must have come. */
+/** Default time limit for a call, with all attempts, in ms. */
 const DEFAULT_TIMEOUT_MS = 15_000;
 
-/** Time, in ms, for one control process. */
-const TRY_TIMEOUT_MS = 1_000;
+/** Time limit for an attempt at one control process, in ms. */
+const ATTEMPT_TIMEOUT_MS = 1_000;
 
-/** Ms between two rounds of asking. */
-const ROUND_DELAY_MS = 50;
+/** Delay between two attempts, in ms. */
+const RETRY_DELAY_MS = 50;
 
-/** Reasons for which another control process, or a later moment, is asked. */
+/** Reasons of problem documents after which a call is retried. */
 const RETRY_REASONS = new Set(["not_leader", "undecided"]);
 
 interface Answer {
@@ -81,12 +81,11 @@
 }
 
 /**
- * Makes the operators' client.
+ * Creates an operator client.
  *
- * A change keeps its id over all tries, so it is made once however often it
- * is sent.
+ * All attempts of a change carry the same change id, so it is applied only once.
  *
- * @param options - The control processes and the operator's token.
+ * @param options - Addresses of the control processes, and the operator's token.
  * @returns The client.
  * @throws Nothing.
  * @example
@@ -97,32 +96,36 @@
 ): OperatorClient {
   const { token, timeoutMs = DEFAULT_TIMEOUT_MS } = options;
   const addresses = options.addresses.map(withScheme);
-  let preferred = 0;
+  let currentIndex = 0;
 
   async function call<Result>(operatorCall: OperatorCall): Promise<Result> {
     const changeId = operatorCall.changeId ?? randomUUID();
-    const untilMs = Date.now() + timeoutMs;
-    let last: Answer | undefined;
-    while (Date.now() < untilMs) {
-      const answer = await tryOne(addresses[preferred], {
+    const deadlineMs = Date.now() + timeoutMs;
+    let lastAnswer: Answer | undefined;
+    while (Date.now() < deadlineMs) {
+      const answer = await attemptCall(addresses[currentIndex], {
         ...operatorCall,
         changeId,
       });
-      if (answer && isFinal(answer)) return settle<Result>(answer);
-      last = answer ?? last;
-      preferred = chooseNext(answer);
-      await sleep(ROUND_DELAY_MS);
+      if (answer && isFinal(answer)) return unwrapAnswer<Result>(answer);
+      lastAnswer = answer ?? lastAnswer;
+      currentIndex = chooseNextIndex(answer);
+      await sleep(RETRY_DELAY_MS);
     }
-    return settle<Result>(last ?? NO_ANSWER);
+    return unwrapAnswer<Result>(lastAnswer ?? NO_ANSWER);
   }
 
-  function chooseNext(answer: Answer | undefined): number {
+  function chooseNextIndex(answer: Answer | undefined): number {
     const leader = String(answer?.document.leaderAddress ?? "");
-    const known = leader === "" ? -1 : addresses.indexOf(withScheme(leader));
-    return known >= 0 ? known : (preferred + 1) % addresses.length;
+    const leaderIndex = leader === ""
+      ? -1
+      : addresses.indexOf(withScheme(leader));
+    return leaderIndex >= 0
+      ? leaderIndex
+      : (currentIndex + 1) % addresses.length;
   }
 
-  async function tryOne(
+  async function attemptCall(
     address: string,
     one: OperatorCall,
   ): Promise<Answer | undefined> {
@@ -136,7 +139,7 @@
           ...(body === undefined ? {} : { "content-type": "application/json" }),
         },
         body: body === undefined ? undefined : JSON.stringify(body),
-        signal: AbortSignal.timeout(TRY_TIMEOUT_MS),
+        signal: AbortSignal.timeout(ATTEMPT_TIMEOUT_MS),
       });
       const text = await response.body.text();
       const document = JSON.parse(text) as Record<string, unknown>;
@@ -152,17 +155,17 @@
     if (from.since !== undefined) query.set("since", String(from.since));
     await call({ path: "/v1/status" });
     const response = await request(
-      `${addresses[preferred]}/v1/watch?${query}`,
+      `${addresses[currentIndex]}/v1/watch?${query}`,
       {
         headers: { authorization: `Bearer ${token}` },
         signal: from.signal,
         bodyTimeout: 0,
       },
     );
-    let rest = "";
+    let partialLine = "";
     for await (const chunk of response.body) {
-      const lines = (rest + String(chunk)).split("\n");
-      rest = lines.pop() ?? "";
+      const lines = (partialLine + String(chunk)).split("\n");
+      partialLine = lines.pop() ?? "";
       for (const line of lines) yield JSON.parse(line) as WatchLine;
     }
   }
@@ -183,7 +186,7 @@
   return !RETRY_REASONS.has(String(answer.document.reason ?? ""));
 }
 
-function settle<Result>(answer: Answer): Result {
+function unwrapAnswer<Result>(answer: Answer): Result {
   const { status, document } = answer;
   if (status >= 200 && status < 300) return document as Result;
   const reason = String(document.reason ?? "");
--- a/src/cli/format_table.ts
+++ b/src/cli/format_table.ts
@@ -1,23 +1,23 @@
 /**
- * Tables for the command line.
+ * Formats tables for the command line.
  *
  * @module
  */
 
-/** One row: texts by column. */
+/** A row: values by column name. */
 export type Row = Readonly<Record<string, unknown>>;
 
 /**
- * Formats rows as a table with a head.
+ * Formats rows as a table with a header line.
  *
- * @param rows - The rows; the first names the columns.
- * @returns Lines of text.
+ * @param rows - The rows; the keys of the first one are the columns.
+ * @returns The lines of the table, joined by line breaks.
  * @throws Nothing.
  * @example
  * formatTable([{ name: "dock", revision: 7 }]);
  */
 export function formatTable(rows: readonly Row[]): string {
-  if (rows.length === 0) return "Nothing";
+  if (rows.length === 0) return "No results";
   const columns = Object.keys(rows[0]);
   const cell = (row: Row, column: string) => formatCell(row[column]);
   const widths = columns.map((column) =>
--- a/src/cli/index.ts
+++ b/src/cli/index.ts
@@ -1,5 +1,5 @@
 /**
- * The command line.
+ * The command line for operators.
  *
  * @module
  */
--- a/src/http/close_server.ts
+++ b/src/http/close_server.ts
@@ -1,27 +1,27 @@
 /**
- * Ends an HTTP server.
+ * Closes an HTTP server.
  *
  * @module
  */
 
 import type { FastifyInstance } from "fastify";
 
-/** How a server is ended. */
+/** Options of {@link closeServer}. */
 export interface CloseServerOptions {
-  /** Ms for answers that are under way. */
+  /** Time for responses in progress to finish, in ms. */
   readonly graceMs?: number;
 }
 
-/** Ms for answers that are under way, by default. */
-const GRACE_MS = 500;
+/** Default time for responses in progress to finish, in ms. */
+const DEFAULT_GRACE_MS = 500;
 
 /**
- * Stops listening and lets answers that are under way finish for a while; then all
- * connections are closed. Without a limit, a connection on which nothing was asked
- * yet keeps a server from ending for a minute.
+ * Stops listening and gives responses in progress a grace period; then closes all
+ * connections. Without the limit, a connection that has not sent a request yet
+ * delays the shutdown for a minute.
  *
  * @param server - The server.
- * @param options - How long answers have.
+ * @param options - The grace period.
  * @returns A promise that resolves once no connection is left.
  * @throws Nothing.
  * @example
@@ -31,7 +31,7 @@
   server: FastifyInstance,
   options: CloseServerOptions = {},
 ): Promise<void> {
-  const { graceMs = GRACE_MS } = options;
+  const { graceMs = DEFAULT_GRACE_MS } = options;
   const timer = setTimeout(
     () => server.server.closeAllConnections(),
     graceMs,
--- a/src/http/close_server_test.ts
+++ b/src/http/close_server_test.ts
@@ -6,7 +6,7 @@
 import { until } from "../../demo/until.ts";
 import { closeServer } from "./close_server.ts";
 
-test("a connection on which nothing was asked doesn't keep a server from ending", async () => {
+test("a connection without a request doesn't delay the shutdown of a server", async () => {
   const server = Fastify();
   await server.listen({ host: "127.0.0.1", port: 0 });
   const { port } = server.server.address() as AddressInfo;
@@ -18,9 +18,9 @@
     hasEnded = true;
   });
   try {
-    await until("it has ended", () => hasEnded);
+    await until("the server is closed", () => hasEnded);
   } finally {
-    // What hangs must not keep the run of tests from ending.
+    // An open socket would keep the test process running.
     socket.destroy();
   }
 });
--- a/src/http/connection_headers.ts
+++ b/src/http/connection_headers.ts
@@ -1,12 +1,12 @@
 /**
- * Headers that concern one connection only.
+ * Hop-by-hop headers.
  *
  * @module
  */
 
 /**
- * Headers, in lower case, that no intermediary passes on: those of the
- * connection and of the message's length. Source: RFC 9110, 7.6.1.
+ * Headers, in lower case, that an intermediary must not forward: those of the
+ * connection and of the message framing. See RFC 9110, 7.6.1.
  */
 export const CONNECTION_HEADERS: readonly string[] = [
   "connection",
--- a/src/http/create_server.ts
+++ b/src/http/create_server.ts
@@ -1,5 +1,5 @@
 /**
- * HTTP servers with limits, problem documents and TLS that reloads.
+ * HTTP servers with limits, problem documents and TLS files that are reloaded.
  *
  * @module
  */
@@ -22,9 +22,9 @@
 export interface ServerLimits {
   readonly bodyBytes: number;
   readonly headerBytes: number;
-  /** Time, in ms, for a caller to send a whole request. */
+  /** Time within which a caller must send the complete request, in ms. */
   readonly requestTimeoutMs: number;
-  /** Time, in ms, for which an idle connection is kept. */
+  /** Time after which an idle connection is closed, in ms. */
   readonly idleTimeoutMs: number;
 }
 
@@ -33,24 +33,24 @@
   readonly limits: ServerLimits;
   readonly tls?: TlsFilesSettings;
   readonly log: Logger;
-  /** Called with the reason of each request that the server turns down. */
+  /** Called with the reason of each request that the server rejects. */
   readonly onRefusal?: (
     reason: "bad_request" | "body_too_large" | "not_found",
   ) => void;
 }
 
-/** Ms between two looks at the TLS files. */
+/** Interval at which the TLS files are checked for changes, in ms. */
 const TLS_POLL_MS = 1_000;
 
-/** How often connections that are too slow are looked for. */
+/** Interval at which connections are checked for time-outs, in ms. */
 const CONNECTION_CHECK_MS = 500;
 
 /**
- * Makes an HTTP server.
+ * Creates an HTTP server.
  *
- * @param options - Limits, TLS files, and who hears of refusals.
+ * @param options - Limits, TLS files, the log, and a callback for rejected requests.
  * @returns The server, not yet listening.
- * @throws {Error} When the TLS files can't be read.
+ * @throws {Error} If the TLS files can't be read.
  * @example
  * const server = createServer({ limits, log });
  */
@@ -69,7 +69,7 @@
         return;
       }
       onRefusal("bad_request");
-      socket.end(formatRawRefusal(error));
+      socket.end(formatRawResponse(error));
     },
   };
   const http = {
@@ -86,9 +86,9 @@
     const problem = describeServerError(error);
     if (problem.status >= 500) log("internalError", { error });
     else onRefusal(problem.reason as "bad_request" | "body_too_large");
-    // The library would cut the connection while the caller still sends its
-    // body, and the caller might never see the answer. The rest is read and
-    // thrown away, within the time for a request.
+    // Fastify would close the connection while the caller is still sending its
+    // body, so the caller might never read the response. Instead the rest of the
+    // body is read and discarded, within the request time-out.
     reply.removeHeader("connection");
     return sendProblem(reply, problem);
   });
@@ -113,8 +113,8 @@
       outcome: "not_run",
     };
   }
-  const isCallers = (error.statusCode ?? 500) < 500;
-  return isCallers
+  const isClientError = (error.statusCode ?? 500) < 500;
+  return isClientError
     ? {
       status: error.statusCode ?? 400,
       reason: "bad_request",
@@ -124,9 +124,9 @@
     : INTERNAL_PROBLEM;
 }
 
-// The parser or a time limit turned the connection down before any request
-// stood: the answer is written by hand.
-function formatRawRefusal(error: NodeJS.ErrnoException): string {
+// The HTTP parser or a time-out failed before there was a request object, so the
+// response is formatted here.
+function formatRawResponse(error: NodeJS.ErrnoException): string {
   const timedOut = error.code === "ERR_HTTP_REQUEST_TIMEOUT";
   const tooLarge = error.code === "HPE_HEADER_OVERFLOW";
   const status = timedOut ? 408 : tooLarge ? 431 : 400;
--- a/src/http/index.ts
+++ b/src/http/index.ts
@@ -1,5 +1,5 @@
 /**
- * HTTP: servers, problem documents, secrets.
+ * HTTP: servers, problem documents, header parsing, secrets.
  *
  * @module
  */
--- a/src/http/limit_time.ts
+++ b/src/http/limit_time.ts
@@ -1,23 +1,23 @@
 /**
- * A time limit on whatever is awaited.
+ * A time-out for promises.
  *
  * @module
  */
 
 import { setImmediate as nextTurn } from "node:timers/promises";
 
-/** An answer that did not come in time. */
+/** A promise was not settled within its time limit. */
 export class TimeLimitError extends Error {
   override readonly name = "TimeLimitError";
 }
 
 /**
- * Turns of the event loop that are waited for once the time is over. The loop runs
- * timers before it reads: where this process itself was late, an answer lies there
- * unread while its time limit fires. A turn without work takes microseconds. In the
- * seconds after all machines had lost power, busy gateways took 179 engines that ran
- * for lost by such limits of 25 ms, and sent their streams once more (log lines of
- * 36 processes).
+ * Turns of the event loop to wait after the timer fires. The loop runs timers before
+ * it reads sockets: if this process was blocked, an answer may have arrived that it
+ * has not read yet. A turn without work takes microseconds. Without these turns,
+ * limits of 25 ms made busy gateways consider 179 running engines failed in the
+ * seconds after a power loss of all machines, and send their streams again (log
+ * lines of 36 processes).
  */
 const GRACE_TURNS = 4;
 
@@ -26,14 +26,14 @@
 }
 
 /**
- * Rejects where a promise is not settled in time; what came in time but was not
- * read yet counts. The HTTP library's own signals do not end a call whose
- * connection is still being made.
+ * Rejects if a promise is not settled in time; data that arrived in time but was
+ * not read yet still counts. Abort signals of the HTTP library are no substitute:
+ * they do not end a call whose connection is still being established.
  *
- * @param promise - What is awaited; it goes on unheeded.
- * @param options - The limit, in ms.
- * @returns What the promise gives.
- * @throws {TimeLimitError} When the time is over.
+ * @param promise - The promise; it is not cancelled when the time is over.
+ * @param options - The time limit, in ms.
+ * @returns The value of the promise.
+ * @throws {TimeLimitError} If the promise is not settled in time.
  * @example
  * const report = await limitTime(readReport(), { timeoutMs: 250 });
  */
@@ -49,7 +49,7 @@
       reject(new TimeLimitError(`No answer within ${timeoutMs} ms`));
     }, timeoutMs);
   });
-  // Whoever gave up hears no more of it.
+  // A rejection after the time limit must not be reported as unhandled.
   promise.catch(() => {});
   try {
     return await Promise.race([promise, limit]);
--- a/src/http/limit_time_test.ts
+++ b/src/http/limit_time_test.ts
@@ -5,11 +5,11 @@
 import * as assert from "uvu/assert";
 import { limitTime, TimeLimitError } from "./limit_time.ts";
 
-test("what comes in time is passed on", async () => {
+test("a value in time is passed on", async () => {
   assert.is(await limitTime(Promise.resolve(3), { timeoutMs: 1_000 }), 3);
 });
 
-test("a failure is passed on", async () => {
+test("a rejection in time is passed on", async () => {
   const failing = Promise.reject(new RangeError("no"));
   try {
     await limitTime(failing, { timeoutMs: 1_000 });
@@ -19,15 +19,15 @@
   }
 });
 
-test("a server that never answers is given up", async () => {
+test("a call to a server that never answers times out", async () => {
   const server = createServer((socket) => {
     setTimeout(() => socket.destroy(), 100);
   });
   await new Promise<void>((done) => server.listen(0, "127.0.0.1", done));
   const { port } = server.address() as AddressInfo;
-  const silent = request(`http://127.0.0.1:${port}/`);
+  const unanswered = request(`http://127.0.0.1:${port}/`);
   try {
-    await limitTime(silent, { timeoutMs: 30 });
+    await limitTime(unanswered, { timeoutMs: 30 });
     assert.unreachable();
   } catch (error) {
     assert.instance(error, TimeLimitError);
@@ -35,7 +35,7 @@
   server.close();
 });
 
-test("an answer that came while this process stood still is read", async () => {
+test("an answer that arrived while this process was blocked is read", async () => {
   const server = createServer((socket) => {
     socket.on("data", () => {
       socket.write("HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nhi");
@@ -44,10 +44,11 @@
   await new Promise<void>((done) => server.listen(0, "127.0.0.1", done));
   const { port } = server.address() as AddressInfo;
   const dispatcher = new Agent();
-  const ask = () => request(`http://127.0.0.1:${port}/`, { dispatcher });
-  const first = await ask();
+  const sendRequest = () =>
+    request(`http://127.0.0.1:${port}/`, { dispatcher });
+  const first = await sendRequest();
   await first.body.dump();
-  const answer = limitTime(ask(), { timeoutMs: 10 });
+  const answer = limitTime(sendRequest(), { timeoutMs: 10 });
   await new Promise((done) => setImmediate(done));
   const untilMs = performance.now() + 40;
   while (performance.now() < untilMs);
--- a/src/http/problem.ts
+++ b/src/http/problem.ts
@@ -1,5 +1,5 @@
 /**
- * Problem documents: how every refusal and error looks to a caller.
+ * Problem documents: the format of rejections and errors for callers.
  *
  * @module
  */
@@ -7,20 +7,20 @@
 import type { FastifyReply } from "fastify";
 import { HEADERS, type Outcome } from "../model/index.ts";
 
-/** A problem as it is sent: `application/problem+json`. */
+/** A problem document, sent as `application/problem+json`. */
 export interface Problem {
   readonly status: number;
   /** A reason from the catalogue in docs/METRICS.md. */
   readonly reason: string;
   readonly detail: string;
   readonly outcome: Outcome;
-  /** Seconds after which to come back. */
+  /** Seconds after which the caller may retry. */
   readonly retryAfterS?: number;
-  /** Further fields of the document. */
+  /** Additional fields of the document. */
   readonly extra?: Readonly<Record<string, unknown>>;
 }
 
-/** What is sent where something unexpected happened. */
+/** The problem document for unexpected errors. */
 export const INTERNAL_PROBLEM: Problem = {
   status: 500,
   reason: "internal",
@@ -54,9 +54,9 @@
 }
 
 /**
- * Sends a problem at once.
+ * Sends a problem document as the response.
  *
- * @param reply - The reply, of which nothing was sent yet.
+ * @param reply - The reply; nothing of it may have been sent yet.
  * @param problem - The problem.
  * @returns The reply.
  * @throws Nothing.
--- a/src/http/read_back_off_ms.ts
+++ b/src/http/read_back_off_ms.ts
@@ -1,33 +1,33 @@
 /**
- * Reads for how long an upstream that turned a request away wants no more.
+ * Reads the back-off that an upstream asks for when it rejects a request.
  *
  * @module
  */
 
 import { readRetryAfter } from "./read_retry_after.ts";
 
-/** Status with which an upstream turns requests away and may ask for a back-off. */
-const TURNED_AWAY = 503;
+/** The status of a rejected request; with it, `Retry-After` asks for a back-off. */
+const SERVICE_UNAVAILABLE = 503;
 
-/** The head of an answer; names of fields in lower case. */
-export interface AnswerHead {
+/** Status and headers of a response; header names in lower case. */
+export interface ResponseHead {
   readonly status: number;
   readonly headers: Readonly<Record<string, string | string[] | undefined>>;
 }
 
 /**
- * Reads for how long an upstream that turned a request away wants no more.
+ * Reads the back-off that an upstream asks for when it rejects a request.
  *
- * @param answer - The head of its answer.
- * @returns Ms; undefined where it asks for no back-off.
+ * @param answer - Status and headers of its response.
+ * @returns The back-off in ms; undefined if it asks for none.
  * @throws Nothing.
  * @example
  * readBackOffMs({ status: 503, headers: { "retry-after": "3" } }); // 3000
  */
 export function readBackOffMs(
-  { status, headers }: AnswerHead,
+  { status, headers }: ResponseHead,
 ): number | undefined {
-  if (status !== TURNED_AWAY) return undefined;
+  if (status !== SERVICE_UNAVAILABLE) return undefined;
   const [date] = [headers.date].flat();
   return readRetryAfter(headers["retry-after"], { date });
 }
--- a/src/http/read_rate_limit.ts
+++ b/src/http/read_rate_limit.ts
@@ -1,19 +1,19 @@
 /**
- * Reads how many requests a second the sender of an answer takes.
+ * Parses the rate limit that the sender of a response announces.
  *
  * @module
  */
 
-/** What a field line may hold: a decimal number without a sign. */
+/** Valid values: decimal numbers without a sign. */
 const DECIMAL = /^\d{1,9}(\.\d{1,9})?$/;
 
 /**
- * Reads a field that names a rate limit. Where it stands more than once the smallest
- * limit holds: whoever named a larger one gets no more than it takes either.
+ * Parses a rate limit header. If it has several values, the smallest limit applies,
+ * because it satisfies the others as well.
  *
- * @param value - The field as it came, one text a line.
- * @returns Requests a second; Infinity where no limit is named, undefined where what
- * is named can't be read.
+ * @param value - The value of the header, one text for each header line.
+ * @returns Requests per second; Infinity if there is no such header, undefined if it
+ * has no valid value.
  * @throws Nothing.
  * @example
  * readRateLimit("4.6"); // 4.6
--- a/src/http/read_rate_limit_test.ts
+++ b/src/http/read_rate_limit_test.ts
@@ -10,11 +10,11 @@
   assert.is(readRateLimit("999999999"), 999_999_999);
 });
 
-test("no field is no limit", () => {
+test("a missing header means no limit", () => {
   assert.is(readRateLimit(undefined), Infinity);
 });
 
-test("what is no number says neither that there is a limit nor that there is none", () => {
+test("an invalid value means neither a limit nor that there is none", () => {
   for (
     const text of ["", "-1", "+4", "many", "4/s", "1e3", "NaN", "Infinity"]
   ) {
@@ -23,7 +23,7 @@
   assert.is(readRateLimit("1".repeat(400)), undefined);
 });
 
-test("of several limits the smallest holds", () => {
+test("the smallest of several limits applies", () => {
   assert.is(readRateLimit(["4.6", "3"]), 3);
   assert.is(readRateLimit("4.6, 7"), 4.6);
   assert.is(readRateLimit(["many", "7"]), 7);
--- a/src/http/read_retry_after.ts
+++ b/src/http/read_retry_after.ts
@@ -1,30 +1,30 @@
 /**
- * Reads how long the sender of an answer asks to be left alone.
+ * Parses `Retry-After` headers.
  *
  * @module
  */
 
-/** What a field line may hold: seconds, fractions included. */
+/** Valid numbers of seconds; fractions are allowed. */
 const SECONDS = /^\d{1,9}(\.\d{1,9})?$/;
 
 const MS_PER_S = 1_000;
 
 /**
- * Ms for which a wish counts, however long is asked for. A mistaken time doesn't take
- * its sender out for days: after an hour it is asked whether it still wants it.
+ * Upper limit of a back-off, in ms. A wrong value must not take its sender out of
+ * service for days: after an hour the sender is tried again.
  */
-const MAX_WAIT_MS = 3_600_000;
+const MAX_BACK_OFF_MS = 3_600_000;
 
 /**
- * Reads the field `Retry-After`. Seconds may have fractions; a date (RFC 9110,
- * 10.2.3) counts from the answer's own `Date`, so that no clock of this machine
- * decides. Where it stands more than once the longest time holds: whoever asked
- * for less is left alone long enough too.
+ * Parses a `Retry-After` header. Seconds may have fractions; a date (RFC 9110,
+ * 10.2.3) is relative to the response's own `Date`, so that the clock of this
+ * machine does not matter. If there are several values, the longest time applies,
+ * because it satisfies the others as well.
  *
- * @param value - The field as it came, one text a line.
- * @param options - The answer's `Date`, if it has one.
- * @returns Ms, rounded up, an hour at most; undefined where it asks for nothing that can be read,
- * negative and empty times included.
+ * @param value - The value of the header, one text for each header line.
+ * @param options - The `Date` of the response, if it has one.
+ * @returns Ms, rounded up, an hour at most; undefined if there is no positive valid
+ * value.
  * @throws Nothing.
  * @example
  * readRetryAfter("1.5"); // 1500
@@ -35,24 +35,25 @@
 ): number | undefined {
   if (value === undefined) return undefined;
   const lines = typeof value === "string" ? [value] : value;
-  const timesMs = lines.flatMap((line) => readTimes(line, options));
+  const timesMs = lines.flatMap((line) => parseTimes(line, options));
   const longestMs = Math.max(0, ...timesMs);
-  return longestMs > 0 ? Math.min(longestMs, MAX_WAIT_MS) : undefined;
+  return longestMs > 0 ? Math.min(longestMs, MAX_BACK_OFF_MS) : undefined;
 }
 
-// A date holds a comma itself; of numbers several may have been joined by commas.
-function readTimes(line: string, { date }: { date?: string }): number[] {
+// Several numbers may be joined by commas in one line. A date contains a comma
+// itself, so the line is not split for it.
+function parseTimes(line: string, { date }: { date?: string }): number[] {
   const seconds = line.split(",").map((part) => part.trim())
     .filter((part) => SECONDS.test(part))
     .map((part) => Math.ceil(Number(part) * MS_PER_S));
   if (seconds.length > 0 || date === undefined) return seconds;
-  const gapMs = readHttpDate(line) - readHttpDate(date);
+  const gapMs = parseHttpDate(line) - parseHttpDate(date);
   return Number.isNaN(gapMs) ? [] : [gapMs];
 }
 
-/** A date as HTTP writes it: `Sun, 06 Nov 1994 08:49:37 GMT`. */
+/** The HTTP date format: `Sun, 06 Nov 1994 08:49:37 GMT`. */
 const HTTP_DATE = /^[A-Z][a-z]{2}, \d{2} [A-Z][a-z]{2} \d{4} [\d:]{8} GMT$/;
 
-function readHttpDate(text: string): number {
+function parseHttpDate(text: string): number {
   return HTTP_DATE.test(text.trim()) ? Date.parse(text) : NaN;
 }
--- a/src/http/read_retry_after_test.ts
+++ b/src/http/read_retry_after_test.ts
@@ -17,7 +17,7 @@
   ["zero", "0", undefined],
   ["an hour", "3600", 3_600_000],
   ["a month", "2592000", 3_600_000],
-  ["more digits than any time has", "99999999999999999999", undefined],
+  ["too many digits", "99999999999999999999", undefined],
   ["a negative number", "-3", undefined],
   ["an exponent", "1e3", undefined],
   ["hexadecimal digits", "0x10", undefined],
@@ -26,21 +26,21 @@
   ["not a number", "NaN", undefined],
   ["infinity", "Infinity", undefined],
   ["two lines", ["1", "3"], 3_000],
-  ["two lines in one", "3, 1", 3_000],
-  ["two lines of which one is nonsense", ["soon", "2"], 2_000],
+  ["two values in one line", "3, 1", 3_000],
+  ["two lines of which one is invalid", ["soon", "2"], 2_000],
   ["two lines of which one is zero", ["0", "2"], 2_000],
   ["a date", LATER, 3_000],
-  ["a date that is over", DATE, undefined],
-  ["a text that some read as a date", "3 May", undefined],
+  ["a date that is not in the future", DATE, undefined],
+  ["a text that Date.parse accepts as a date", "3 May", undefined],
 ];
 
 for (const [name, value, expectedMs] of ROWS) {
-  test(`of ${name} is read ${expectedMs ?? "nothing"}`, () => {
+  test(`${name} is parsed as ${expectedMs ?? "undefined"}`, () => {
     assert.is(readRetryAfter(value, { date: DATE }), expectedMs);
   });
 }
 
-test("a date says nothing where the answer does not tell its own", () => {
+test("a date is ignored if the response has no Date", () => {
   assert.is(readRetryAfter(LATER), undefined);
 });
 
--- a/src/http/secrets.ts
+++ b/src/http/secrets.ts
@@ -1,5 +1,5 @@
 /**
- * Compares secrets without telling by the time taken where they differ.
+ * Hashes secrets and compares them in constant time.
  *
  * @module
  */
@@ -8,7 +8,7 @@
 import { createHash, timingSafeEqual } from "node:crypto";
 
 /**
- * Hashes a key or token as the resources hold it.
+ * Hashes an API key or token in the form stored in resources.
  *
  * @param secret - The key or token.
  * @returns Its SHA-256 in hex.
@@ -21,11 +21,11 @@
 }
 
 /**
- * Tells whether two hashes are the same, in constant time.
+ * Compares two hashes in constant time, so that the duration reveals nothing.
  *
  * @param a - A SHA-256 in hex.
- * @param b - Another.
- * @returns Whether they are the same.
+ * @param b - Another SHA-256 in hex.
+ * @returns Whether they are equal.
  * @throws Nothing.
  * @example
  * isSameSecret(hashSecret(token), operator.spec.tokenSha256);
@@ -37,10 +37,10 @@
 }
 
 /**
- * Gets the secret of an `Authorization: Bearer` header.
+ * Extracts the secret from an `Authorization: Bearer` header.
  *
  * @param header - The header's value, if any.
- * @returns The secret, or undefined where there is none.
+ * @returns The secret, or undefined if there is none.
  * @throws Nothing.
  * @example
  * const key = parseBearer(request.headers.authorization);
--- a/src/settings/index.ts
+++ b/src/settings/index.ts
@@ -1,5 +1,5 @@
 /**
- * Settings: their schemas, and how files are loaded and checked.
+ * Settings: their schemas, and loading and validation of settings files.
  *
  * @module
  */
--- a/src/settings/load_settings.ts
+++ b/src/settings/load_settings.ts
@@ -10,12 +10,12 @@
 import { SettingsError } from "./settings_error.ts";
 
 /**
- * Loads and checks a settings file.
+ * Loads and validates a settings file.
  *
  * @param file - The file's path.
  * @param schema - The program's settings schema.
  * @returns The settings.
- * @throws {SettingsError} When the file can't be read or is wrong.
+ * @throws {SettingsError} If the file can't be read or is invalid.
  * @example
  * const settings = await loadSettings("entry.jsonc", EntrySettingsSchema);
  */
--- a/src/settings/parse_settings.ts
+++ b/src/settings/parse_settings.ts
@@ -1,5 +1,5 @@
 /**
- * Reads settings in JSON with comments and checks them against a schema.
+ * Parses settings in JSON with comments and validates them against a schema.
  *
  * @module
  */
@@ -17,20 +17,22 @@
 import { findSchemaProblems, type SchemaProblem } from "../model/index.ts";
 import { SettingsError } from "./settings_error.ts";
 
-/** The file's name, for messages. */
+/** Options of {@link parseSettings}. */
 export interface ParseSettingsOptions {
+  /** The file's name, for error messages. */
   readonly file: string;
 }
 
 /**
- * Parses and checks a settings text; missing fields get their defaults.
+ * Parses and validates the text of a settings file; missing fields get their
+ * defaults.
  *
- * @param text - JSON with comments; a comma may follow the last item.
+ * @param text - JSON with comments; trailing commas are allowed.
  * @param schema - The program's settings schema.
- * @param options - The file's name.
+ * @param options - The schema, and the file's name.
  * @returns The settings.
- * @throws {SettingsError} Naming file, line, field, what was found and what is
- * allowed, for all mistakes at once.
+ * @throws {SettingsError} With file, line, field, the value found and what is
+ * allowed, for all problems at once.
  * @example
  * const settings = parseSettings(text, { schema, file: "entry.jsonc" });
  */
@@ -41,14 +43,14 @@
   const { file, schema } = options;
   const errors: ParseError[] = [];
   const tree = parseTree(text, errors, { allowTrailingComma: true });
-  const syntax = errors.map((error) =>
+  const syntaxErrors = errors.map((error) =>
     `${file}:${getLine(text, error.offset)}: ${
       printParseErrorCode(error.error)
     }`
   );
-  if (syntax.length > 0 || !tree) {
+  if (syntaxErrors.length > 0 || !tree) {
     throw new SettingsError(
-      syntax.join("\n") || `${file}:1: The file is empty`,
+      syntaxErrors.join("\n") || `${file}:1: The file is empty`,
     );
   }
   const value = Value.Default(schema, getNodeValue(tree));
--- a/src/settings/parse_settings_test.ts
+++ b/src/settings/parse_settings_test.ts
@@ -2,7 +2,7 @@
 import * as assert from "uvu/assert";
 import { EntrySettingsSchema, parseSettings } from "./index.ts";
 
-const RIGHT = `{
+const VALID = `{
   // An entry of the trial
   "fleetId": "trial",
   "vm": "entry-1",
@@ -22,19 +22,19 @@
   }
 }
 
-test("an empty file is refused", () => {
+test("an empty file is rejected", () => {
   assert.match(findMessage(""), /^entry\.jsonc:1: /);
 });
 
-test("comments and a last comma are allowed, defaults are filled in", () => {
-  const settings = parseSettings(RIGHT, options);
+test("comments and trailing commas are allowed, defaults are filled in", () => {
+  const settings = parseSettings(VALID, options);
   assert.is(settings.heartbeatIntervalMs, 500);
   assert.is(settings.limits.bodyBytes, 1_048_576);
   assert.is(settings.logs.level, "info");
 });
 
-test("all mistakes are named at once, with line, field, found and allowed", () => {
-  const text = RIGHT.replace('"port": 0', '"port": 99999')
+test("all problems are reported at once, with line, field, found and allowed", () => {
+  const text = VALID.replace('"port": 0', '"port": 99999')
     .replace('"vm": "entry-1"', '"vm": "Entry 1"')
     .replace('"place": "bkk-1"', '"plaice": "bkk-1"');
   const lines = findMessage(text).split("\n");
@@ -51,7 +51,7 @@
   assert.ok(lines.some((line) => /place: found nothing/.test(line)));
 });
 
-test("broken JSON is named with its line", () => {
+test("a JSON syntax error is reported with its line", () => {
   assert.match(findMessage('{\n  "vm": ,\n}'), /entry\.jsonc:2: ValueExpected/);
 });
 
--- a/src/settings/schemas.ts
+++ b/src/settings/schemas.ts
@@ -1,6 +1,6 @@
 /**
- * The settings of each program. Types are inferred from the schemas; every
- * field carries its unit, its default where it has one, and its meaning.
+ * The settings of each program. Types are inferred from the schemas. Names of
+ * fields end in their unit; descriptions and defaults are part of the schema.
  *
  * @module
  */
@@ -10,33 +10,36 @@
 
 const HostPort = Type.String({
   pattern: "^[0-9A-Za-z.:\\[\\]-]+:\\d{1,5}$",
-  description: "Address and port",
+  description: "Host or IP address, and port",
 });
 
 const Listen = Type.Object({
-  host: Type.String({ default: "127.0.0.1", description: "Address" }),
+  host: Type.String({
+    default: "127.0.0.1",
+    description: "IP address to listen on",
+  }),
   port: Type.Integer({
     minimum: 0,
     maximum: 65_535,
-    description: "Port; 0 takes a free one",
+    description: "Port; 0 selects a free one",
   }),
 }, { additionalProperties: false });
 
 const LogSettings = Type.Object({
   level: Type.Union(
     ["debug", "info", "warn", "error"].map((level) => Type.Literal(level)),
-    { default: "info", description: "Least level that is written" },
+    { default: "info", description: "Minimum level that is logged" },
   ),
   format: Type.Union(
     [Type.Literal("text"), Type.Literal("json")],
-    { default: "text", description: "One line an event, as text or as JSON" },
+    { default: "text", description: "Format of log lines, one per event" },
   ),
 }, { additionalProperties: false, default: {} });
 
 const MetricsSettings = Type.Object({
   host: Type.String({
     default: "",
-    description: "StatsD address; empty sends none",
+    description: "StatsD host; if empty, no metrics are sent",
   }),
   port: Type.Integer({
     minimum: 1,
@@ -50,17 +53,21 @@
   keyFile: Type.String({ description: "Private key, PEM" }),
   certificateFile: Type.String({ description: "Certificate chain, PEM" }),
   authorityFile: Type.Optional(
-    Type.String({ description: "Authorities of the other side, PEM" }),
+    Type.String({
+      description:
+        "CA certificates that the peer's certificate is verified against, PEM",
+    }),
   ),
 }, { additionalProperties: false });
 
-/** Files of a TLS identity. */
+/** Key, certificate and CA files for TLS. */
 export type TlsFilesSettings = Static<typeof TlsFiles>;
 
 const common = {
   fleetId: Type.String({
     minLength: 1,
-    description: "The fleet; processes of another fleet are refused",
+    description:
+      "Identifier of the fleet; processes of another fleet are rejected",
   }),
   vm: NameSchema,
   place: NameSchema,
@@ -74,22 +81,22 @@
   bodyBytes: Type.Integer({
     minimum: 1,
     default: 1_048_576,
-    description: "Largest request body",
+    description: "Largest request body, in bytes",
   }),
   headerBytes: Type.Integer({
     minimum: 1_024,
     default: 16_384,
-    description: "Largest request header",
+    description: "Largest header section of a request, in bytes",
   }),
   requestTimeoutMs: Type.Integer({
     minimum: 1,
     default: 10_000,
-    description: "Time for a caller to send a whole request",
+    description: "Time within which a caller must send the complete request",
   }),
   idleTimeoutMs: Type.Integer({
     minimum: 1,
     default: 72_000,
-    description: "Time for which an idle connection is kept",
+    description: "Time after which an idle connection is closed",
   }),
 }, { additionalProperties: false, default: {} });
 
@@ -98,43 +105,46 @@
   ...common,
   listen: Listen,
   callerAddress: Type.Optional(
-    Type.String({ description: "Address that callers are told to use" }),
+    Type.String({ description: "Address that is published to callers" }),
   ),
   controlAddresses: Type.Array(HostPort, {
     minItems: 1,
-    description: "Where the control processes talk to entries",
+    description:
+      "Addresses at which the control processes accept sessions of entries",
   }),
   dataFolder: Type.Optional(
     Type.String({
-      description: "Where the last configuration is kept, on a VM with a disk",
+      description:
+        "Folder in which the last configuration is stored, on a VM with a disk",
     }),
   ),
   limits: Limits,
   heartbeatIntervalMs: Type.Integer({
     minimum: 10,
     default: 500,
-    description: "Time between two reports to control",
+    description: "Interval of heartbeats to control",
   }),
   controlSilenceMs: Type.Integer({
     minimum: 50,
     default: 2_000,
-    description: "Silence after which another control process is asked",
+    description:
+      "Time without a message from control after which another process is tried",
   }),
   maxConfigAgeMs: Type.Integer({
     minimum: 0,
     default: 0,
     description:
-      "Age without contact to control after which new requests are refused; 0 never",
+      "Time without contact to control after which new requests are rejected; 0 disables this",
   }),
   entriesTtlMs: Type.Integer({
     minimum: 100,
     default: 5_000,
-    description: "Time for which callers may keep the list of entries",
+    description: "Time for which callers may cache the list of entries",
   }),
   drainTimeoutMs: Type.Integer({
     minimum: 0,
     default: 60_000,
-    description: "Time for requests in flight at a planned stop",
+    description: "Time for requests in flight to finish at a graceful shutdown",
   }),
 }, { additionalProperties: false });
 
@@ -146,7 +156,7 @@
   ...common,
   dataFolder: Type.String({
     minLength: 1,
-    description: "Folder of the durable state",
+    description: "Folder of the persistent state",
   }),
   listen: Listen,
   peerListen: Listen,
@@ -156,56 +166,59 @@
       peerAddress: HostPort,
       operatorAddress: Type.Optional(HostPort),
     }, { additionalProperties: false }),
-    { minItems: 1, description: "All control VMs, this one among them" },
+    { minItems: 1, description: "All control VMs, including this one" },
   ),
   platformListUrl: Type.Optional(
     Type.String({
       pattern: "^https?://",
-      description: "The platform's list of VMs",
+      description: "URL of the platform's list of VMs",
     }),
   ),
   platformPollMs: Type.Integer({
     minimum: 10,
     default: 500,
-    description: "Time between two reads of the platform's list",
+    description: "Interval at which the platform's list is polled",
   }),
   limits: Limits,
   entryLeaseMs: Type.Integer({
     minimum: 100,
     default: 1_500,
-    description: "Silence after which an entry counts as dead",
+    description:
+      "Time without a heartbeat after which an entry is considered failed",
   }),
   snapshotEntries: Type.Integer({
     minimum: 16,
     default: 4_096,
-    description: "Log entries between two snapshots",
+    description: "Number of log entries between two snapshots",
   }),
   claimWindowMs: Type.Integer({
     minimum: 1_000,
     default: 900_000,
-    description: "Time for which a claim is remembered",
+    description: "Time for which a claim is retained",
   }),
   quorum: Type.Object({
     electionTimeoutMs: Type.Integer({
       minimum: 50,
       default: 400,
-      description: "Silence of a leader before another may be voted for",
+      description:
+        "Time without a heartbeat of the leader after which an election may start",
     }),
     electionJitterMs: Type.Integer({
       minimum: 1,
       default: 200,
-      description: "Random time, at most, added to it",
+      description: "Largest random time that is added to the election timeout",
     }),
     heartbeatIntervalMs: Type.Integer({
       minimum: 5,
       default: 50,
-      description: "Time between two heartbeats of the leader",
+      description: "Interval of the leader's heartbeats",
     }),
   }, { additionalProperties: false, default: {} }),
   bootstrapOperatorTokenSha256: Type.Optional(
     Type.String({
       pattern: "^[0-9a-f]{64}$",
-      description: "Token of the first operator, until one is declared",
+      description:
+        "SHA-256 of the first operator's token in hex; valid until an operator is declared",
     }),
   ),
 }, { additionalProperties: false });
--- a/src/wire/bind_grpc.ts
+++ b/src/wire/bind_grpc.ts
@@ -1,5 +1,5 @@
 /**
- * Opens the listener of a gRPC server.
+ * Binds gRPC servers to their addresses.
  *
  * @module
  */
@@ -8,7 +8,7 @@
 import type { TlsFilesSettings } from "../settings/index.ts";
 import { createServerCredentials } from "./credentials.ts";
 
-/** Where a server listens. */
+/** Options of {@link bindGrpc}. */
 export interface BindGrpcOptions {
   /** Host and port. */
   readonly address: string;
@@ -16,12 +16,12 @@
 }
 
 /**
- * Opens the listener of a gRPC server.
+ * Binds a gRPC server to an address and starts to listen.
  *
  * @param grpc - The server.
  * @param options - The address and the TLS files.
- * @returns The port.
- * @throws {Error} When the address is taken.
+ * @returns The port, also if the address names port 0.
+ * @throws {Error} If the address can't be bound, such as when it is in use.
  * @example
  * const port = await bindGrpc(grpc, { address: "127.0.0.1:0" });
  */
--- a/src/wire/channel_options.ts
+++ b/src/wire/channel_options.ts
@@ -1,15 +1,15 @@
 /**
- * Options of the channels between the system's own processes.
+ * Options of the gRPC channels between the processes of the system.
  *
  * @module
  */
 
-/** Largest message that is sent or taken, in bytes. */
+/** Largest message that is sent or accepted, in bytes. */
 export const MAX_MESSAGE_BYTES = 64 * 1024 * 1024;
 
 /**
- * Channel options: a restarted process is found again within half a second,
- * and a connection that is cut in silence is noticed within three.
+ * Channel options. Reconnects to a restarted process within half a second, and
+ * detects a connection that broke without a reset within three seconds.
  */
 export const CHANNEL_OPTIONS = {
   "grpc.initial_reconnect_backoff_ms": 50,
@@ -19,6 +19,6 @@
   "grpc.keepalive_timeout_ms": 1_000,
   "grpc.max_send_message_length": MAX_MESSAGE_BYTES,
   "grpc.max_receive_message_length": MAX_MESSAGE_BYTES,
-  // Each client keeps its own connection, so that closing one cuts no other.
+  // Each client has its own connection, so that closing one doesn't affect others.
   "grpc.use_local_subchannel_pool": 1,
 };
--- a/src/wire/convert_peer_message.ts
+++ b/src/wire/convert_peer_message.ts
@@ -1,5 +1,5 @@
 /**
- * Turns quorum messages into their wire form and back.
+ * Converts quorum messages to their wire format and back.
  *
  * @module
  */
@@ -12,13 +12,13 @@
 import type { PeerMessage } from "./gen/crowlever.ts";
 
 /**
- * Turns a quorum message into its wire form. Snapshots travel in chunks and
+ * Converts a quorum message to its wire format. Snapshots are sent in chunks and
  * are not converted here.
  *
  * @param message - The message.
- * @param options - The sender's cluster.
- * @returns The wire form.
- * @throws {TypeError} For a whole snapshot.
+ * @param options - The sender's cluster id.
+ * @returns The message in wire format.
+ * @throws {TypeError} If the message is a snapshot.
  * @example
  * const wire = formatPeerMessage(message, { clusterId: "c1" });
  */
@@ -46,15 +46,15 @@
     case "timeoutNow":
       return { $case: "timeoutNow", value: {} };
     case "snapshot":
-      throw new TypeError("A snapshot travels in chunks");
+      throw new TypeError("Snapshots must be sent as chunks");
   }
 }
 
 /**
- * Turns a wire message into a quorum message.
+ * Converts a message in wire format to a quorum message.
  *
- * @param wire - The wire form.
- * @returns The message, or undefined for a chunk of a snapshot.
+ * @param wire - The message in wire format.
+ * @returns The quorum message, or undefined for a chunk of a snapshot.
  * @throws Nothing.
  * @example
  * const message = parsePeerMessage(wire);
--- a/src/wire/credentials.ts
+++ b/src/wire/credentials.ts
@@ -1,6 +1,6 @@
 /**
- * Credentials of the system's own processes: mutual TLS, or none on a
- * loopback trial.
+ * gRPC credentials of the system's processes: mutual TLS, or none for tests on the
+ * loopback interface.
  *
  * @module
  */
@@ -12,10 +12,10 @@
 } from "@grpc/grpc-js";
 import type { TlsFilesSettings } from "../settings/index.ts";
 
-/** Ms between two looks at the key files; a changed one is used from then. */
+/** Interval at which the key files are checked and reloaded if changed, in ms. */
 const REFRESH_INTERVAL_MS = 1_000;
 
-function watchFiles(files: TlsFilesSettings) {
+function createCertificateProvider(files: TlsFilesSettings) {
   return new experimental.FileWatcherCertificateProvider({
     certificateFile: files.certificateFile,
     privateKeyFile: files.keyFile,
@@ -25,10 +25,10 @@
 }
 
 /**
- * Makes the credentials of a server between our processes.
+ * Creates the credentials of a gRPC server.
  *
  * @param files - Key files; absent means no TLS.
- * @returns The credentials; the other side must show a certificate too.
+ * @returns The credentials; clients must present a certificate.
  * @throws Nothing.
  * @example
  * const credentials = createServerCredentials(settings.peerTls);
@@ -37,7 +37,7 @@
   files?: TlsFilesSettings,
 ): ServerCredentials {
   if (!files) return ServerCredentials.createInsecure();
-  const provider = watchFiles(files);
+  const provider = createCertificateProvider(files);
   return experimental.createCertificateProviderServerCredentials(
     provider,
     provider,
@@ -46,7 +46,7 @@
 }
 
 /**
- * Makes the credentials of a client between our processes.
+ * Creates the credentials of a gRPC client.
  *
  * @param files - Key files; absent means no TLS.
  * @returns The credentials.
@@ -58,7 +58,7 @@
   files?: TlsFilesSettings,
 ): ChannelCredentials {
   if (!files) return ChannelCredentials.createInsecure();
-  const provider = watchFiles(files);
+  const provider = createCertificateProvider(files);
   return experimental.createCertificateProviderChannelCredentials(
     provider,
     provider,
