--- a/src/cli/commands/explain.ts
+++ b/src/cli/commands/explain.ts
@@ -71,9 +71,9 @@
 
   private async explainFromLogs(
     requestId: string,
-    from: { logs: readonly string[]; output: "table" | "json" | "name" },
+    options: { logs: readonly string[]; output: "table" | "json" | "name" },
   ): Promise<void> {
-    const texts = await Promise.all(from.logs.map(readLog)).catch((error) =>
+    const texts = await Promise.all(options.logs.map(readLog)).catch((error) =>
       this.error((error as Error).message, { exit: EXIT_USAGE })
     );
     const lines = texts.flatMap((one) => one.split("\n"));
@@ -87,14 +87,14 @@
       ...line,
       fields: formatFields(fields),
     }));
-    this.print(traced, { output: from.output, rows });
+    this.print(traced, { output: options.output, rows });
   }
 
   private async explainRequest(
     id: string,
-    from: { entry: string; key: string; output: "table" | "json" | "name" },
+    options: { entry: string; key: string; output: "table" | "json" | "name" },
   ): Promise<void> {
-    const { entry, key, output } = from;
+    const { entry, key, output } = options;
     const response = await request(`${entry}/v1/requests/${id}`, {
       headers: { authorization: `Bearer ${key}` },
     });
--- a/src/cli/commands/watch.ts
+++ b/src/cli/commands/watch.ts
@@ -30,7 +30,7 @@
   async run(): Promise<void> {
     const { args, flags } = await this.parse(WatchCommand);
     const client = this.makeClient(flags);
-    let left = flags.count ?? Infinity;
+    let remaining = flags.count ?? Infinity;
     for await (
       const line of client.watch({ kind: args.kind, since: flags.since })
     ) {
@@ -39,8 +39,8 @@
         const what = line.resource ? "changed" : "deleted";
         this.log(`${line.revision} ${line.kind}/${line.name} ${what}`);
       } else if (line.type === "relist") this.log(`${line.revision} relist`);
-      if (line.type === "change") left -= 1;
-      if (left <= 0) this.exit(0);
+      if (line.type === "change") remaining -= 1;
+      if (remaining <= 0) this.exit(0);
     }
     this.exit(EXIT_UNAVAILABLE);
   }
--- a/src/cli/create_operator_client.ts
+++ b/src/cli/create_operator_client.ts
@@ -127,9 +127,9 @@
 
   async function attemptCall(
     address: string,
-    one: OperatorCall,
+    callToSend: OperatorCall,
   ): Promise<Answer | undefined> {
-    const { method = "GET", path, body, changeId = "" } = one;
+    const { method = "GET", path, body, changeId = "" } = callToSend;
     try {
       const response = await request(`${address}${path}`, {
         method,
@@ -149,16 +149,16 @@
     }
   }
 
-  async function* watch(from: WatchOptions): AsyncGenerator<WatchLine> {
+  async function* watch(filter: WatchOptions): AsyncGenerator<WatchLine> {
     const query = new URLSearchParams();
-    if (from.kind !== undefined) query.set("kind", from.kind);
-    if (from.since !== undefined) query.set("since", String(from.since));
+    if (filter.kind !== undefined) query.set("kind", filter.kind);
+    if (filter.since !== undefined) query.set("since", String(filter.since));
     await call({ path: "/v1/status" });
     const response = await request(
       `${addresses[currentIndex]}/v1/watch?${query}`,
       {
         headers: { authorization: `Bearer ${token}` },
-        signal: from.signal,
+        signal: filter.signal,
         bodyTimeout: 0,
       },
     );
--- a/src/http/limit_time.ts
+++ b/src/http/limit_time.ts
@@ -35,7 +35,7 @@
  * @returns The value of the promise.
  * @throws {TimeLimitError} If the promise is not settled in time.
  * @example
- * const report = await limitTime(readReport(), { timeoutMs: 250 });
+ * const report = await withTimeout(readReport(), { timeoutMs: 250 });
  */
 export async function limitTime<Value>(
   promise: Promise<Value>,
--- a/src/http/secrets.ts
+++ b/src/http/secrets.ts
@@ -28,7 +28,7 @@
  * @returns Whether they are equal.
  * @throws Nothing.
  * @example
- * isSameSecret(hashSecret(token), operator.spec.tokenSha256);
+ * isSameHash(hashSecret(token), operator.spec.tokenSha256);
  */
 export function isSameSecret(a: string, b: string): boolean {
   const left = Buffer.from(a, "hex");
--- a/src/resources/apply_change.ts
+++ b/src/resources/apply_change.ts
@@ -66,7 +66,7 @@
  * @returns The state at the revision of the last change.
  * @throws Nothing.
  * @example
- * const next = takeChanges(state, [change]);
+ * const next = applyAcceptedChanges(state, [change]);
  */
 export function takeChanges(
   state: ResourceState,
