--- a/docgen/doc_comments_test.ts
+++ b/docgen/doc_comments_test.ts
@@ -14,7 +14,7 @@
     .map((name) => join("src", name));
 }
 
-function findBare(text: string): string[] {
+function findUndocumented(text: string): string[] {
   const lines = text.split("\n");
   return lines.flatMap((line, at) => {
     const name = EXPORT.exec(line)?.[1];
@@ -24,17 +24,19 @@
 }
 
 test("every module and public item has a doc comment", async () => {
-  const bare: string[] = [];
+  const undocumented: string[] = [];
   for (const path of await listSources()) {
     const text = await readFile(path, "utf8");
-    if (!text.includes("@module")) bare.push(path);
-    bare.push(...findBare(text).map((name) => `${path}: ${name}`));
+    if (!text.includes("@module")) undocumented.push(path);
+    undocumented.push(
+      ...findUndocumented(text).map((name) => `${path}: ${name}`),
+    );
   }
-  assert.equal(bare, []);
+  assert.equal(undocumented, []);
 });
 
-test("every public function says what it returns and throws, with an example", async () => {
-  const short: string[] = [];
+test("every public function documents its return value, errors and an example", async () => {
+  const incomplete: string[] = [];
   for (const path of await listSources()) {
     const text = await readFile(path, "utf8");
     const comments = text.matchAll(
@@ -42,12 +44,12 @@
     );
     for (const [, comment, name] of comments) {
       if (path.includes("_lib/")) continue;
-      const whole = ["@returns", "@throws", "@example"]
+      const isComplete = ["@returns", "@throws", "@example"]
         .every((tag) => comment.includes(tag));
-      if (!whole) short.push(`${path}: ${name}`);
+      if (!isComplete) incomplete.push(`${path}: ${name}`);
     }
   }
-  assert.equal(short, []);
+  assert.equal(incomplete, []);
 });
 
 test.run();
--- a/docgen/format_pages.ts
+++ b/docgen/format_pages.ts
@@ -1,5 +1,5 @@
 /**
- * The pages of the docs that are made from the code.
+ * Generates the reference pages of the documentation and the JSON Schemas.
  *
  * @module
  */
@@ -24,15 +24,15 @@
 
 type AnySchema = TSchema & Record<string, unknown>;
 
-/** A file of the repository that is made from the code. */
+/** A file of the repository that is generated from the code. */
 export interface GeneratedFile {
   readonly path: string;
   readonly text: string;
 }
 
-const NOTICE = "This page is made from the code by `npm run docs`.";
+const GENERATED_NOTICE = "This page is made from the code by `npm run docs`.";
 
-/** Makes all files that are made from the code. */
+/** Generates all files that are derived from the code. */
 export function makeGeneratedFiles(): GeneratedFile[] {
   return [
     { path: "docs/EVENTS.md", text: formatEvents() },
@@ -55,7 +55,7 @@
   return join([
     "# Events",
     "",
-    NOTICE,
+    GENERATED_NOTICE,
     "",
     "Numbers: CL10 processes, CL11 storage, CL12 quorum, CL13 resources, CL14",
     "membership and sessions, CL15 requests, CL16 upstreams, CL17 the fleet, CL18",
@@ -77,7 +77,7 @@
   return join([
     "# Metrics",
     "",
-    NOTICE,
+    GENERATED_NOTICE,
     "",
     "Sent over StatsD to `metrics.host`; `GET /v1/counters` of each process",
     "gives its counters since the start.",
@@ -105,7 +105,7 @@
   return join([
     "# Settings",
     "",
-    NOTICE,
+    GENERATED_NOTICE,
     "",
     "Settings are JSON with comments, one file a program, given with",
     "`--settings FILE`; `--check` only checks it. `schemas/` has JSON Schemas",
@@ -132,7 +132,7 @@
   return join([
     "# Resources",
     "",
-    NOTICE,
+    GENERATED_NOTICE,
     "",
     "Fields of each kind's `spec`.",
     ...kinds,
@@ -155,13 +155,13 @@
     const item = field.items as AnySchema | undefined;
     if (field.properties) return listFields(field, path);
     if (item?.properties) return listFields(item, `${path}[]`);
-    const isNeeded = required.includes(name) && field.default === undefined;
-    const initial = field.default === undefined
-      ? isNeeded ? "needed" : ""
+    const isRequired = required.includes(name) && field.default === undefined;
+    const defaultText = field.default === undefined
+      ? isRequired ? "needed" : ""
       : `\`${JSON.stringify(field.default)}\``;
     const allowed = describeSchema(field).replaceAll("|", "\\|");
     const meaning = String(field.description ?? "");
-    return [`| \`${path}\` | ${allowed} | ${initial} | ${meaning} |`];
+    return [`| \`${path}\` | ${allowed} | ${defaultText} | ${meaning} |`];
   });
 }
 
--- a/docgen/write_pages.ts
+++ b/docgen/write_pages.ts
@@ -1,5 +1,5 @@
 /**
- * Writes the files that are made from the code: `npm run docs`.
+ * Writes the files that are generated from the code. Run by `npm run docs`.
  *
  * @module
  */
--- a/examples/caller.ts
+++ b/examples/caller.ts
@@ -1,61 +1,61 @@
 /**
- * A caller that does as docs/CALLERS.md says: it keeps the entries' answer for
- * its time to live, connects there itself, and repeats only what is safe.
+ * A client that follows docs/CALLERS.md: it caches the list of entries for its time
+ * to live, connects to the entries itself, and retries only where that is safe.
  *
  * @module
  */
 
 import { setTimeout as sleep } from "node:timers/promises";
 
-interface EntriesAnswer {
+interface EntriesResponse {
   readonly entries: readonly { readonly address: string }[];
   readonly ttlMs: number;
 }
 
 /** Options of {@link createCaller}. */
 export interface CreateCallerOptions {
-  /** Addresses to begin with; any live entry will do. */
+  /** Initial addresses; one live entry among them is enough. */
   readonly addresses: readonly string[];
   readonly key: string;
   readonly service: string;
 }
 
-/** Tries of one request. */
-const MAX_TRIES = 4;
+/** Maximum number of attempts of a request. */
+const MAX_ATTEMPTS = 4;
 
-/** Makes a caller of one service. */
+/** Creates a client of one service. */
 export function createCaller(options: CreateCallerOptions) {
   const { key, service } = options;
   const headers = { authorization: `Bearer ${key}` };
-  let known = [...options.addresses];
-  let freshUntilMs = 0;
+  let entryAddresses = [...options.addresses];
+  let expiresMs = 0;
 
   async function listAddresses(): Promise<readonly string[]> {
-    if (Date.now() < freshUntilMs) return known;
-    for (const address of known) {
+    if (Date.now() < expiresMs) return entryAddresses;
+    for (const address of entryAddresses) {
       const url = `${address}/v1/entries?service=${service}`;
       const response = await fetch(url, { headers }).catch(() => undefined);
       if (!response?.ok) continue;
-      const answer = await response.json() as EntriesAnswer;
+      const answer = await response.json() as EntriesResponse;
       if (answer.entries.length === 0) continue;
-      known = answer.entries.map((entry) => entry.address);
-      freshUntilMs = Date.now() + answer.ttlMs;
+      entryAddresses = answer.entries.map((entry) => entry.address);
+      expiresMs = Date.now() + answer.ttlMs;
       break;
     }
-    return known;
+    return entryAddresses;
   }
 
   /**
-   * Sends a request. With an idempotency key it may be sent to any entry as
-   * often as need be: it runs at most once.
+   * Sends a request. Because of the idempotency key it may be retried on any entry:
+   * it is executed at most once.
    */
   async function send(
     path: string,
     request: { body: string; idempotencyKey: string },
   ): Promise<Response> {
-    for (let tries = 0;; tries++) {
+    for (let attempt = 0;; attempt++) {
       const addresses = await listAddresses();
-      const address = addresses[tries % addresses.length];
+      const address = addresses[attempt % addresses.length];
       const response = await fetch(`${address}${path}`, {
         method: "POST",
         headers: {
@@ -68,11 +68,11 @@
       }).catch(() => undefined);
       const outcome = response?.headers.get("crowlever-outcome");
       const isFinal = outcome === "done" || outcome === "failed";
-      if (response && (isFinal || tries + 1 >= MAX_TRIES)) return response;
-      if (tries + 1 >= MAX_TRIES) throw new Error("No entry answered");
-      // The refusal says when to come back; a cut connection says nothing.
-      const waitS = Number(response?.headers.get("retry-after") ?? 1);
-      await sleep(waitS * 1_000);
+      if (response && (isFinal || attempt + 1 >= MAX_ATTEMPTS)) return response;
+      if (attempt + 1 >= MAX_ATTEMPTS) throw new Error("No entry responded");
+      // A rejection has a Retry-After header; a broken connection has no response.
+      const retryAfterS = Number(response?.headers.get("retry-after") ?? 1);
+      await sleep(retryAfterS * 1_000);
     }
   }
 
--- a/scripts/build_target.mjs
+++ b/scripts/build_target.mjs
@@ -1,8 +1,8 @@
 // Bundles the program that runs on the platform into target/: one file loads
-// in a fraction of the time that the packages' many files take.
+// in a fraction of the time that the many files of the packages take.
 //
-// With --readable FILE it only writes a bundle whose lines name the modules that
-// they come from, for a profile; it runs the role that it is given.
+// With --readable FILE it only writes an unminified bundle for profiling, in which
+// comments name the source modules. That bundle runs the role given as its argument.
 import { execFileSync } from "node:child_process";
 import { copyFileSync, existsSync, rmSync, statSync } from "node:fs";
 import process from "node:process";
@@ -21,17 +21,20 @@
 const OPTIONS = {
   bundle: true,
   platform: "node",
-  // One package has a UMD main whose requires the bundler cannot follow.
+  // One package has a UMD entry point whose require calls esbuild cannot resolve.
   mainFields: ["module", "main"],
   target: "node20",
   format: "cjs",
   logLevel: "warning",
 };
 
-/** Ms for the warm-up: longer than it waits for anything, so that it ends what it started. */
+/**
+ * Longer than any time-out inside the warm-up, so that the warm-up can stop the
+ * processes that it started.
+ */
 const WARM_UP_LIMIT_MS = 90_000;
 
-/** Puts the parts of undici that the programs use in the place of its index. */
+/** Replaces the index of undici by the modules that the programs use. */
 const undiciParts = {
   name: "undici-parts",
   setup(bundler) {
@@ -68,8 +71,8 @@
 });
 copyFileSync("scripts/launch.cjs", "target/crowlever.cjs");
 
-// The caches only save time: where a machine can't run the programs, they start
-// without.
+// The code caches only save start-up time: where a machine can't run the warm-up,
+// the programs start without them.
 await build({
   ...OPTIONS,
   entryPoints: ["scripts/warm_up.ts"],
@@ -82,7 +85,7 @@
   });
 } catch (error) {
   process.stderr.write(
-    `The warm-up failed, starts may cost more: ${error.message}\n`,
+    `The warm-up failed, programs start without a code cache: ${error.message}\n`,
   );
 }
 rmSync("target/warm_up.cjs", { force: true });
--- a/scripts/check.mjs
+++ b/scripts/check.mjs
@@ -1,6 +1,6 @@
-// Runs all checks: formatter, linter, tests. Type check and build ran in the
-// set-up. The last line counts what passed and what failed; tests listed in
-// KNOWN-RED.txt are printed and passed over.
+// Runs all checks: formatter, linter, model checker and tests. The set-up script
+// runs the type check and the build. The last line counts the checks that passed and
+// failed; failures of tests listed in KNOWN-RED.txt are printed but not counted.
 import { spawnSync } from "node:child_process";
 import { existsSync, readFileSync } from "node:fs";
 import process from "node:process";
@@ -38,8 +38,8 @@
   }
 }
 
-// The specifications are checked with Spin, a Debian package; continuous
-// integration installs it where it is missing.
+// The model checker is Spin, a Debian package; continuous integration installs it
+// where it is missing.
 function hasSpin() {
   return run("spin", ["-V"]).passed && run("gcc", ["--version"]).passed;
 }
@@ -69,7 +69,7 @@
 for (const line of excused) process.stdout.write(`known red: ${line}\n`);
 passed += good;
 failed += total - good - excused.length;
-// A run that was cut off, or that found no test, has failed.
+// A run that was aborted, or that found no tests, counts as a failure.
 if (total === 0 || (!tests.passed && red.length === 0)) failed += 1;
 process.stdout.write(`${passed} passed, ${failed} failed\n`);
 process.exit(failed === 0 ? 0 : 1);
--- a/scripts/launch.cjs
+++ b/scripts/launch.cjs
@@ -1,12 +1,12 @@
-// Loads the bundle beside it with V8's code cache: a start then takes less
-// processor time. Without a cache that fits, V8 compiles as usual.
+// Loads the bundle in the same folder with V8's code cache, which saves processor
+// time at the start. Without a matching cache V8 compiles the bundle as usual.
 //
-// Usage: crowlever.cjs ROLE [HOST:PORT]. Where an address is given, callers can
-// connect there at once; their connections wait until the bundle is loaded.
+// Usage: crowlever.cjs ROLE [HOST:PORT]. If an address is given, callers can connect
+// to it at once; their connections are queued until the bundle has loaded.
 //
-// With CREATE_CACHE set it writes the cache of the role when it ends: the
-// functions that have run by then need not be compiled in a later process; what
-// that gains is told in undici_parts.cjs.
+// With CREATE_CACHE set, it writes the code cache of the role on exit: functions that
+// have run by then are not compiled again in later processes. undici_parts.cjs gives
+// the time saved.
 "use strict";
 const { existsSync, readFileSync, writeFileSync } = require("node:fs");
 const Module = require("node:module");
--- a/scripts/setup.mjs
+++ b/scripts/setup.mjs
@@ -1,5 +1,5 @@
-// Makes a fresh clone ready: installs the locked packages where they are
-// missing and builds.
+// Prepares a fresh clone: installs the locked packages unless they are up to date,
+// and builds.
 import { execFileSync } from "node:child_process";
 import { existsSync, rmSync, statSync } from "node:fs";
 import process from "node:process";
--- a/scripts/spawn_program.ts
+++ b/scripts/spawn_program.ts
@@ -1,5 +1,5 @@
 /**
- * Starts a program of the platform as deploy/system.toml does.
+ * Starts a program of the platform with the command line of deploy/system.toml.
  *
  * @module
  */
@@ -10,36 +10,36 @@
 import { join } from "node:path";
 import process from "node:process";
 
-/** How a program is started. */
+/** Options of {@link spawnProgram}. */
 export interface SpawnProgramOptions {
-  /** File that the runtime loads. */
+  /** Script that Node.js runs. */
   readonly file: string;
-  /** What the platform would write into its settings file. */
+  /** Contents of the settings file, which the platform generates otherwise. */
   readonly settings: {
     readonly nodeId: string;
     readonly [name: string]: unknown;
   };
-  /** Folder for that file. */
+  /** Folder in which the settings file is written. */
   readonly folder: string;
-  /** Flags of the runtime besides the role's own; none by default. */
+  /** Node.js flags in addition to those of the role; none by default. */
   readonly flags?: readonly string[];
-  /** Arguments behind the role; none by default. */
+  /** Arguments after the role; none by default. */
   readonly args?: readonly string[];
-  /** Variables of its environment besides our own; none by default. */
+  /** Environment variables in addition to our own; none by default. */
   readonly variables?: Readonly<Record<string, string>>;
 }
 
-/** Line of the deploy file that starts a role: flags, then the role's name. */
-const RUN_LINE = /^run = "node (.*) target\/\S+ (\w+)/gm;
+/** Line of deploy/system.toml that starts a role; captures its flags and name. */
+const ROLE_LINE = /^run = "node (.*) target\/\S+ (\w+)/gm;
 
 /**
- * Starts a program with the runtime's flags of its role: a code cache fits only a
- * runtime with the flags under which it was made, and figures only hold for them.
+ * Starts a program with the Node.js flags of its role in deploy/system.toml: V8
+ * rejects a code cache made with other flags, and measurements depend on them.
  *
- * @param role - Its role in deploy/system.toml.
- * @param options - What is loaded, its settings and where they are written.
+ * @param role - The role in deploy/system.toml.
+ * @param options - The script, its settings and the folder of the settings file.
  * @returns The process.
- * @throws {Error} When the deploy file has no such role.
+ * @throws {Error} When deploy/system.toml has no such role.
  * @example
  * const child = await spawnProgram("entry", { file, settings, folder });
  */
@@ -66,7 +66,9 @@
 
 function readRoleFlags(role: string): string[] {
   const text = readFileSync("deploy/system.toml", "utf8");
-  const line = [...text.matchAll(RUN_LINE)].find(([, , name]) => name === role);
+  const line = [...text.matchAll(ROLE_LINE)].find(([, , name]) =>
+    name === role
+  );
   if (!line) throw new Error(`deploy/system.toml has no role ${role}`);
   return line[1].split(" ");
 }
--- a/scripts/undici_parts.cjs
+++ b/scripts/undici_parts.cjs
@@ -1,8 +1,8 @@
-// The parts of undici that the programs use. Its index also loads fetch, caches,
-// mocks and WebSockets, and a start evaluates all of it. With these parts and a code
-// cache of its role (launch.cjs) start and eight idle seconds of a gateway take 480 to
-// 540 ms of processor time and 75 MB in place of 590 to 710 ms and 79 MB (npm run
-// measure -- profile, side by side).
+// The modules of undici that the programs use. The index of undici also loads fetch,
+// caches, mocks and WebSockets, all of which are evaluated at the start. With these
+// modules and the code cache of the role (launch.cjs), the start and eight idle seconds
+// of a gateway take 480 to 540 ms of processor time and 75 MB instead of 590 to 710 ms
+// and 79 MB (npm run measure -- profile).
 "use strict";
 const Agent = require("undici/lib/dispatcher/agent.js");
 const Dispatcher = require("undici/lib/dispatcher/dispatcher.js");
--- a/scripts/warm_up.ts
+++ b/scripts/warm_up.ts
@@ -1,7 +1,7 @@
 /**
- * Runs the two programs of the platform in a small fleet on loopback addresses
- * until they have served some calls, so that their code caches hold what a start
- * and a call need.
+ * Creates the code caches of the two programs: runs both in a small fleet on loopback
+ * addresses until they have served some calls, so that the caches hold the functions
+ * that a start and a call need.
  *
  * @module
  */
@@ -28,16 +28,16 @@
   "crowlever.cjs",
 );
 
-/** Calls of each kind; a function is compiled when it is first called. */
-const CALLS = 20;
+/** Number of calls of each kind; V8 compiles a function when it is first called. */
+const CALLS_PER_KIND = 20;
 
-/** Ms for the news of the last engine's layers to reach the gateway. */
-const NEWS_MS = 1_500;
+/** Time for the update with the last engine's layers to reach the gateway. */
+const PROPAGATION_MS = 1_500;
 
-/** Engines that hold the model's layers. */
+/** Number of engines that share the model's layers. */
 const MODEL_ENGINES = 4;
 
-/** Sends a call; its status. */
+/** Sends a request and returns the status of the response. */
 async function send(
   address: string,
   options: { path: string; headers?: Record<string, string>; body?: string },
@@ -56,7 +56,7 @@
   const [front, ready, directory, control, peer] = await findFreePorts(5);
   const controlAddress = `${CONTROL_IP}:${control}`;
 
-  const start = (role: string, own: object): Promise<ChildProcess> =>
+  const start = (role: string, roleSettings: object): Promise<ChildProcess> =>
     spawnProgram(role, {
       file: LAUNCHER,
       folder,
@@ -68,7 +68,7 @@
         bootstrap: true,
         faultTolerance: { machines: 0 },
         bounds: { graceS: 1 },
-        ...own,
+        ...roleSettings,
       },
       variables: { CREATE_CACHE: "1" },
     });
@@ -89,7 +89,7 @@
       dataDir: "",
     }),
   ];
-  const ended = programs.map((program) =>
+  const exits = programs.map((program) =>
     new Promise((resolve) => program.once("exit", resolve))
   );
   const startEngine = (service: string, card?: string) =>
@@ -110,7 +110,7 @@
   try {
     const document = JSON.stringify(makeWireConfig(1));
     await until(
-      "a configuration is taken",
+      "the configuration is accepted",
       async () =>
         await send(controlAddress, {
           path: CALL.putConfig,
@@ -119,14 +119,14 @@
         }) === 200,
     );
     await until(
-      "engines hold layers",
+      "all model engines hold layers",
       () => modelEngines.every((engine) => engine.getRange()[1] > 0),
     );
-    await sleep(NEWS_MS);
-    for (let at = 0; at < CALLS; at++) {
+    await sleep(PROPAGATION_MS);
+    for (let index = 0; index < CALLS_PER_KIND; index++) {
       const headers = {
         host: "a.example",
-        [HEADER.requestId]: `call-${at}`,
+        [HEADER.requestId]: `call-${index}`,
         [HEADER.deadlineMs]: "5000",
         [HEADER.tokens]: "20,20",
         [HEADER.key]: "key-1",
@@ -142,7 +142,7 @@
     }
   } finally {
     for (const program of programs) program.kill("SIGTERM");
-    await Promise.all(ended);
+    await Promise.all(exits);
     await Promise.all(engines.map((engine) => engine[Symbol.asyncDispose]()));
   }
 }
