--- a/src/entry/abort_when_gone.ts
+++ b/src/entry/abort_on_disconnect.ts
@@ -1,5 +1,5 @@
 /**
- * A signal that tells that a caller has gone away.
+ * Abort signal for a caller's disconnection.
  *
  * @module
  */
@@ -7,15 +7,15 @@
 import type { FastifyReply } from "fastify";
 
 /**
- * Makes a signal that is aborted when the caller goes away before the end.
+ * Creates a signal that is aborted if the caller disconnects before the answer ends.
  *
  * @param reply - The reply to the caller.
  * @returns The signal.
  * @throws Nothing.
  * @example
- * const signal = abortWhenGone(reply);
+ * const signal = abortOnDisconnect(reply);
  */
-export function abortWhenGone(reply: FastifyReply): AbortSignal {
+export function abortOnDisconnect(reply: FastifyReply): AbortSignal {
   const abort = new AbortController();
   reply.raw.once("close", () => {
     if (!reply.raw.writableFinished) abort.abort();
--- a/src/entry/add_caller_routes.ts
+++ b/src/entry/add_caller_routes.ts
@@ -1,5 +1,5 @@
 /**
- * The callers' side of an entry: its routes.
+ * HTTP routes that an entry serves to callers.
  *
  * @module
  */
@@ -26,26 +26,26 @@
 import type { PlainRequest } from "./serve_plain.ts";
 import { writeStream } from "./write_answer.ts";
 
-/** Answers one request, or throws a `RequestProblemError`. */
-type Serve<Request> = (
+/** Handles one request, or throws a `RequestProblemError`. */
+type RequestHandler<Request> = (
   request: Request,
   reply: FastifyReply,
 ) => Promise<FastifyReply> | FastifyReply;
 
-/** What the callers' side needs of its program. */
+/** Options of {@link addCallerRoutes}. */
 export interface AddCallerRoutesOptions {
   readonly server: FastifyInstance;
   readonly vm: string;
   readonly getState: () => ResourceState;
   readonly getAccounts: () => AccountIndex;
   readonly agent: Agent;
-  readonly servePlain: Serve<PlainRequest>;
-  readonly serveCompletion: Serve<FastifyRequest>;
+  readonly servePlain: RequestHandler<PlainRequest>;
+  readonly serveCompletion: RequestHandler<FastifyRequest>;
   readonly streams: StreamStore;
   readonly requests: RequestLog;
   readonly isReady: () => boolean;
   readonly isLeaving: () => boolean;
-  /** Time, in ms, for which callers may keep the list of entries. */
+  /** Time, in ms, for which callers may cache the list of entries. */
   readonly entriesTtlMs: number;
   readonly metrics: Metrics;
 }
@@ -57,9 +57,9 @@
 type RequestById = FastifyRequest<{ Params: { id: string } }>;
 
 /**
- * Adds the callers' routes to a server.
+ * Adds the routes for callers to a server.
  *
- * @param options - The server and all that serves requests.
+ * @param options - The server, the request handlers and their state.
  * @returns Nothing.
  * @throws Nothing.
  * @example
@@ -67,7 +67,7 @@
  */
 export function addCallerRoutes(options: AddCallerRoutesOptions): void {
   const { server, metrics, agent } = options;
-  // Bodies are read as they are: an upstream gets what the caller sent.
+  // Bodies are not parsed: an upstream gets the bytes that the caller sent.
   server.removeAllContentTypeParsers();
   server.addContentTypeParser(
     "*",
@@ -81,15 +81,17 @@
     return reply.code(ready ? 200 : 503).send({ ready });
   });
   server.get("/v1/counters", () => metrics.getCounters());
-  server.get("/v1/entries", guard(listEntries));
-  server.get("/v1/requests/:id", guard(explain));
-  server.get("/v1/completions/:id", guard(resume));
-  server.post("/v1/completions", guard(options.serveCompletion));
-  server.post("/v1/chat/completions", guard(options.serveCompletion));
-  server.all("/services/:service/*", guard(options.servePlain));
+  server.get("/v1/entries", handleProblems(listEntries));
+  server.get("/v1/requests/:id", handleProblems(getTrace));
+  server.get("/v1/completions/:id", handleProblems(resume));
+  server.post("/v1/completions", handleProblems(options.serveCompletion));
+  server.post("/v1/chat/completions", handleProblems(options.serveCompletion));
+  server.all("/services/:service/*", handleProblems(options.servePlain));
 
-  // Turns a problem that a handler throws into its document.
-  function guard<Request extends FastifyRequest>(serve: Serve<Request>) {
+  // Sends the problem document of an error thrown by a handler.
+  function handleProblems<Request extends FastifyRequest>(
+    serve: RequestHandler<Request>,
+  ) {
     return async (request: FastifyRequest, reply: FastifyReply) => {
       try {
         return await serve(request as Request, reply);
@@ -103,7 +105,7 @@
   }
 
   function countRefusal(reason: string): void {
-    // Admission and claims count theirs where they arise.
+    // Admission and claims count their own refusals.
     if (COUNTED_ELSEWHERE.has(reason)) return;
     if (reason in REFUSAL_REASONS) {
       metrics.countRefusal(reason as RefusalReason);
@@ -132,7 +134,7 @@
     return reply.send({ entries, ttlMs: options.entriesTtlMs });
   }
 
-  function explain(request: RequestById, reply: FastifyReply): FastifyReply {
+  function getTrace(request: RequestById, reply: FastifyReply): FastifyReply {
     const account = readAccount(request, options.getAccounts());
     const trace = options.requests.find(request.params.id);
     const owned = trace && trace.clientAccount === account.name;
@@ -152,11 +154,11 @@
       await writeStream(reply, { stream, lastId });
       return reply;
     }
-    const holder = agent.getLive().entries.find((entry) =>
+    const streamOwner = agent.getLive().entries.find((entry) =>
       entry.vm !== options.vm && id.startsWith(`${entry.vm}-`)
     );
-    if (!holder) throw makeRefusal("not_resumable", { status: 410 });
-    return reply.redirect(`${holder.address}/v1/completions/${id}`, 307);
+    if (!streamOwner) throw makeRefusal("not_resumable", { status: 410 });
+    return reply.redirect(`${streamOwner.address}/v1/completions/${id}`, 307);
   }
 }
 
--- a/src/entry/create_admission.ts
+++ b/src/entry/create_admission.ts
@@ -1,5 +1,5 @@
 /**
- * Lets requests in: rates, shares, fair queues, refusals at once.
+ * Admission control: rate limits, in-flight limits, fair queueing and load shedding.
  *
  * @module
  */
@@ -28,27 +28,27 @@
 import { createDemandMeter } from "./create_demand_meter.ts";
 import { RequestProblemError } from "./entry_error.ts";
 
-/** A request that wants to be let in. */
+/** A request to admit. */
 export interface AdmissionRequest {
   readonly service: Resource<"service">;
   readonly account: Resource<"clientAccount">;
   readonly priority: number;
-  /** Monotonic time, in ms, after which the caller no longer wants it. */
+  /** Deadline, as monotonic time in ms. */
   readonly deadlineMs: number;
-  /** Aborted when the caller goes away. */
+  /** Aborted when the caller disconnects. */
   readonly signal: AbortSignal;
 }
 
-/** A place among the running requests; disposing of it frees it. */
+/** An in-flight slot; disposing of it releases the slot. */
 export type AdmissionSlot = AsyncDisposable;
 
-/** Lets requests in. */
+/** Admission control of an entry. */
 export interface Admission {
-  /** Rejects with a {@link RequestProblemError} where it is refused. */
+  /** Resolves when the request may run; rejects with a {@link RequestProblemError}. */
   admit(request: AdmissionRequest): Promise<AdmissionSlot>;
-  /** Requests a second that each client account lately asked for. */
+  /** Recent demand of each client account, in requests per second. */
   getDemandPerS(): Record<string, number>;
-  /** Requests a second that were lately asked of each pool. */
+  /** Recent demand on each pool, in requests per second. */
   getPoolDemandPerS(): Record<string, number>;
   getQueued(): number;
 }
@@ -56,94 +56,94 @@
 /** Options of {@link createAdmission}. */
 export interface CreateAdmissionOptions {
   readonly getShares: () => AccountShares;
-  /** Entries that share a limit for which control has sent no share yet. */
+  /** Number of entries, to divide a limit for which control has sent no share yet. */
   readonly getEntryCount: () => number;
   readonly metrics: Metrics;
   /** Monotonic time, in ms. */
   readonly now: () => number;
 }
 
-/** Requests of a service that run through one entry where nothing is declared. */
+/** Default limit of a service's requests in flight at one entry. */
 export const DEFAULT_MAX_IN_FLIGHT = 256;
 
-/** Requests of a service that wait at one entry where nothing is declared. */
+/** Default limit of a service's queued requests at one entry. */
 export const DEFAULT_MAX_QUEUED = 512;
 
-/** Weight of the newest request in the averages of a service. */
+/** Weight of the newest sample in the moving averages of a service. */
 const EWMA_WEIGHT = 0.05;
 
-/** Seconds of its rate that a client account may save up. */
+/** Burst size of a client account, in seconds of its rate. */
 const BURST_S = 1;
 
-interface Waiting {
+interface QueuedRequest {
   readonly run: () => void;
-  /** Its time is over. */
+  /** Its deadline can no longer be met. */
   readonly expire: () => void;
-  /** Another goes before it in a full queue. */
-  readonly giveUp: () => void;
+  /** The queue is full and another request takes its position. */
+  readonly evict: () => void;
 }
 
-interface ServiceGate {
+interface ServiceState {
   inFlight: number;
   queue: FairQueue;
-  readonly waiting: Map<number, Waiting>;
-  /** Average time, in ms, that a request runs. */
-  runMs: number;
-  /** Average time, in ms, between two ends. */
-  betweenEndsMs: number;
-  lastEndMs: number;
+  readonly waiting: Map<number, QueuedRequest>;
+  /** Moving average of a request's run time, in ms; 0 before the first sample. */
+  averageRunMs: number;
+  /** Moving average of the time between completions, in ms; 0 before the first sample. */
+  completionIntervalMs: number;
+  lastCompletionMs: number;
 }
 
-interface AccountGate {
+interface AccountState {
   bucket: TokenBucket | undefined;
   inFlight: number;
 }
 
 /**
- * Makes what lets requests in.
+ * Creates the admission control.
  *
- * @param options - The shares, the metrics and the time.
- * @returns The admission.
+ * @param options - Shares of the limits, metrics and a clock.
+ * @returns The admission control.
  * @throws Nothing.
  * @example
  * await using slot = await admission.admit(request);
  */
 export function createAdmission(options: CreateAdmissionOptions): Admission {
   const { metrics, now } = options;
-  const services = new Map<string, ServiceGate>();
-  const accounts = new Map<string, AccountGate>();
+  const services = new Map<string, ServiceState>();
+  const accounts = new Map<string, AccountState>();
   const accountDemand = createDemandMeter({ now });
   const poolDemand = createDemandMeter({ now });
   let nextId = 1;
 
-  function getServiceGate(name: string): ServiceGate {
-    const known = services.get(name);
-    if (known) return known;
-    const gate: ServiceGate = {
+  function getServiceState(name: string): ServiceState {
+    const existing = services.get(name);
+    if (existing) return existing;
+    const state: ServiceState = {
       inFlight: 0,
       queue: createFairQueue(),
       waiting: new Map(),
-      runMs: 0,
-      betweenEndsMs: 0,
-      lastEndMs: 0,
+      averageRunMs: 0,
+      completionIntervalMs: 0,
+      lastCompletionMs: 0,
     };
-    services.set(name, gate);
-    return gate;
+    services.set(name, state);
+    return state;
   }
 
-  function getAccountGate(name: string): AccountGate {
-    const known = accounts.get(name);
-    if (known) return known;
-    const gate: AccountGate = {
+  function getAccountState(name: string): AccountState {
+    const existing = accounts.get(name);
+    if (existing) return existing;
+    const state: AccountState = {
       bucket: undefined,
       inFlight: 0,
     };
-    accounts.set(name, gate);
-    return gate;
+    accounts.set(name, state);
+    return state;
   }
 
-  function takeRate(
-    gate: AccountGate,
+  function consumeRate(
+    state: AccountState,
     account: Resource<"clientAccount">,
   ): void {
     const { requestsPerS } = account.spec;
@@ -152,8 +152,8 @@
     const ratePerS = share ?? requestsPerS / options.getEntryCount();
     const burst = Math.max(1, ratePerS * BURST_S);
     const rate = { nowMs: now(), ratePerS, burst };
-    const taken = takeToken(gate.bucket ?? createTokenBucket(rate), rate);
-    gate.bucket = taken.bucket;
+    const taken = takeToken(state.bucket ?? createTokenBucket(rate), rate);
+    state.bucket = taken.bucket;
     if (!taken.admitted) throw refuse("rate_limited", taken.retryAfterMs);
   }
 
@@ -180,150 +180,164 @@
 
   async function admit(request: AdmissionRequest): Promise<AdmissionSlot> {
     const { service, account, deadlineMs } = request;
-    const gate = getServiceGate(service.name);
-    const accountGate = getAccountGate(account.name);
+    const state = getServiceState(service.name);
+    const accountState = getAccountState(account.name);
     accountDemand.count(account.name);
     poolDemand.count(service.spec.pool);
     const { maxInFlight = DEFAULT_MAX_IN_FLIGHT, maxQueued } = service.spec;
-    const item = makeItem(request, gate);
-    const { ahead, last } = findFairQueuePlace(gate.queue, item);
+    const queueItem = createQueueItem(request, state);
+    const { ahead, last } = findFairQueuePlace(state.queue, queueItem);
     const decision = decideAdmission({
-      inFlight: gate.inFlight,
+      inFlight: state.inFlight,
       maxInFlight,
-      queued: gate.waiting.size,
+      queued: state.waiting.size,
       queuedAhead: ahead,
       hasLater: last !== undefined,
       maxQueued: maxQueued ?? DEFAULT_MAX_QUEUED,
-      accountInFlight: accountGate.inFlight,
+      accountInFlight: accountState.inFlight,
       accountMaxInFlight: getAccountMaxInFlight(account),
-      endedPerS: gate.betweenEndsMs > 0 ? 1_000 / gate.betweenEndsMs : 0,
+      endedPerS: state.completionIntervalMs > 0
+        ? 1_000 / state.completionIntervalMs
+        : 0,
       timeLeftMs: deadlineMs - now(),
-      typicalRunMs: gate.runMs,
+      typicalRunMs: state.averageRunMs,
     });
     if (decision.decision === "refuse") {
       throw refuse(decision.reason, decision.retryAfterMs);
     }
-    takeRate(accountGate, account);
+    consumeRate(accountState, account);
     if (decision.decision === "queue" && decision.displace && last) {
-      displace(gate, last.id);
+      displace(state, last.id);
     }
-    accountGate.inFlight += 1;
+    accountState.inFlight += 1;
     try {
-      if (decision.decision === "run") gate.inFlight += 1;
-      else await wait(gate, request);
+      if (decision.decision === "run") state.inFlight += 1;
+      else await waitInQueue(state, request);
     } catch (error) {
-      accountGate.inFlight -= 1;
+      accountState.inFlight -= 1;
       throw error;
     }
-    return makeSlot(gate, accountGate);
+    return createSlot(state, accountState);
   }
 
-  // The last of a full queue is given up for one that goes before it.
-  function displace(gate: ServiceGate, id: number): void {
-    gate.queue = removeFromFairQueue(gate.queue, id);
-    gate.waiting.get(id)?.giveUp();
+  // Rejects the last request of a full queue to make room for a more urgent one.
+  function displace(state: ServiceState, id: number): void {
+    state.queue = removeFromFairQueue(state.queue, id);
+    state.waiting.get(id)?.evict();
   }
 
-  async function wait(
-    gate: ServiceGate,
+  async function waitInQueue(
+    state: ServiceState,
     request: AdmissionRequest,
   ): Promise<void> {
     const startedMs = now();
     const id = nextId++;
     const { deadlineMs, signal } = request;
-    gate.queue = addToFairQueue(gate.queue, { ...makeItem(request, gate), id });
-    const tooLate = () => refuse("deadline_too_near", backlogMs(gate));
+    state.queue = addToFairQueue(state.queue, {
+      ...createQueueItem(request, state),
+      id,
+    });
+    const createDeadlineError = () =>
+      refuse("deadline_too_near", estimateBacklogMs(state));
     try {
       await new Promise<void>((resolve, reject) => {
         const timer = setTimeout(
-          () => reject(tooLate()),
+          () => reject(createDeadlineError()),
           Math.max(0, deadlineMs - startedMs),
         );
-        const settle = (finish: () => void) => () => {
+        const finishWaiting = (finish: () => void) => () => {
           clearTimeout(timer);
           finish();
         };
-        gate.waiting.set(id, {
-          run: settle(resolve),
-          expire: settle(() => reject(tooLate())),
-          giveUp: settle(() => reject(refuse("queue_full", backlogMs(gate)))),
+        state.waiting.set(id, {
+          run: finishWaiting(resolve),
+          expire: finishWaiting(() => reject(createDeadlineError())),
+          evict: finishWaiting(() =>
+            reject(refuse("queue_full", estimateBacklogMs(state)))
+          ),
         });
         signal.addEventListener(
           "abort",
-          settle(() => reject(new Error("The caller went away"))),
+          finishWaiting(() => reject(new Error("The caller disconnected"))),
         );
       });
     } catch (error) {
-      gate.queue = removeFromFairQueue(gate.queue, id);
+      state.queue = removeFromFairQueue(state.queue, id);
       throw error;
     } finally {
-      gate.waiting.delete(id);
+      state.waiting.delete(id);
       metrics.timing("requests.queue_ms", now() - startedMs);
     }
   }
 
-  function makeSlot(
-    gate: ServiceGate,
-    accountGate: AccountGate,
+  function createSlot(
+    state: ServiceState,
+    accountState: AccountState,
   ): AdmissionSlot {
     const startedMs = now();
     return {
       async [Symbol.asyncDispose]() {
         await Promise.resolve();
-        accountGate.inFlight -= 1;
-        gate.inFlight -= 1;
+        accountState.inFlight -= 1;
+        state.inFlight -= 1;
         const nowMs = now();
-        gate.runMs = average(gate.runMs, nowMs - startedMs);
-        if (gate.lastEndMs > 0) {
-          const betweenMs = nowMs - gate.lastEndMs;
-          gate.betweenEndsMs = average(gate.betweenEndsMs, betweenMs);
+        state.averageRunMs = updateAverage(
+          state.averageRunMs,
+          nowMs - startedMs,
+        );
+        if (state.lastCompletionMs > 0) {
+          const betweenMs = nowMs - state.lastCompletionMs;
+          state.completionIntervalMs = updateAverage(
+            state.completionIntervalMs,
+            betweenMs,
+          );
         }
-        gate.lastEndMs = nowMs;
-        runNext(gate);
+        state.lastCompletionMs = nowMs;
+        runNext(state);
       },
     };
   }
 
-  function runNext(gate: ServiceGate): void {
-    const taken = takeFromFairQueue(gate.queue, now());
-    gate.queue = taken.queue;
-    for (const { id } of taken.expired) gate.waiting.get(id)?.expire();
-    const next = taken.request && gate.waiting.get(taken.request.id);
+  function runNext(state: ServiceState): void {
+    const taken = takeFromFairQueue(state.queue, now());
+    state.queue = taken.queue;
+    for (const { id } of taken.expired) state.waiting.get(id)?.expire();
+    const next = taken.request && state.waiting.get(taken.request.id);
     if (!next) return;
-    gate.inFlight += 1;
+    state.inFlight += 1;
     next.run();
   }
 
   return {
     admit,
-    getDemandPerS: accountDemand.getPerS,
-    getPoolDemandPerS: poolDemand.getPerS,
+    getDemandPerS: accountDemand.getRatesPerS,
+    getPoolDemandPerS: poolDemand.getRatesPerS,
     getQueued() {
       let queued = 0;
-      for (const gate of services.values()) queued += gate.waiting.size;
+      for (const state of services.values()) queued += state.waiting.size;
       return queued;
     },
   };
 }
 
-function makeItem(request: AdmissionRequest, gate: ServiceGate) {
+function createQueueItem(request: AdmissionRequest, state: ServiceState) {
   const { account, priority, deadlineMs } = request;
   return {
     id: 0,
     clientAccount: account.name,
     weight: account.spec.weight ?? 1,
     priority,
-    // A request whose turn comes later than that would end too late.
-    deadlineMs: deadlineMs - RUN_MARGIN * gate.runMs,
+    // A request that starts later than this would miss its deadline.
+    deadlineMs: deadlineMs - RUN_MARGIN * state.averageRunMs,
   };
 }
 
-// Time, in ms, until all that waits now will have run.
-function backlogMs(gate: ServiceGate): number {
-  const backlog = gate.waiting.size * gate.betweenEndsMs;
+// Estimated time, in ms, until the current queue is empty.
+function estimateBacklogMs(state: ServiceState): number {
+  const backlog = state.waiting.size * state.completionIntervalMs;
   return backlog > 0 ? backlog : DEFAULT_RETRY_AFTER_MS;
 }
 
-function average(before: number, value: number): number {
+function updateAverage(before: number, value: number): number {
   return before === 0 ? value : before + EWMA_WEIGHT * (value - before);
 }
--- a/src/entry/create_agent.ts
+++ b/src/entry/create_agent.ts
@@ -1,5 +1,5 @@
 /**
- * The agent inside the entry: its session with the control leader.
+ * The entry's control agent: keeps a session with the control leader.
  *
  * @module
  */
@@ -30,10 +30,10 @@
 type Stream = ClientDuplexStream<wire.AgentMessage, wire.ControlMessage>;
 type AgentBody = NonNullable<wire.AgentMessage["body"]>;
 
-/** What the agent needs of its program. */
+/** Options of {@link createAgent}. */
 export interface CreateAgentOptions {
   readonly settings: EntrySettings;
-  /** New at each start of the process. */
+  /** Identifies this run of the process; new at each start. */
   readonly incarnation: string;
   readonly config: ConfigReplica;
   readonly getReport: () => EntryReport;
@@ -46,7 +46,7 @@
   readonly random: () => number;
 }
 
-/** What became of a claim. */
+/** Control's answer to a claim. */
 export type ClaimAnswer =
   | { readonly verdict: "granted" | "running" | "unknown" | "mismatch" }
   | { readonly verdict: "unavailable" }
@@ -58,46 +58,46 @@
     readonly body: string;
   };
 
-/** What became of a claim, and the number of the attempt. */
-export interface BegunClaim {
+/** Control's answer to a claim, and the number of the attempt. */
+export interface ClaimAttempt {
   readonly attempt: number;
   readonly answer: ClaimAnswer;
 }
 
-/** Names a claim. */
-export interface ClaimName {
+/** Identifies a claim. */
+export interface ClaimId {
   readonly clientAccount: string;
   readonly key: string;
 }
 
-/** How a claimed request ended. */
-export interface ClaimEnding extends ClaimName {
-  /** The attempt that ended, as its beginning gave it. */
+/** Outcome of a claimed request. */
+export interface ClaimCompletion extends ClaimId {
+  /** The attempt that ended, as returned by `beginClaim`. */
   readonly attempt: number;
   readonly outcome: Outcome;
   readonly status: number;
   readonly contentType: string;
-  /** The answer; empty where it is too large to keep. */
+  /** The answer; empty if it is too large to store. */
   readonly body: string;
 }
 
-/** The agent inside the entry. */
+/** The entry's control agent. */
 export interface Agent extends AsyncDisposable {
-  /** Opens the session; callers reach this entry at the address. */
+  /** Opens the session, announcing the address at which callers reach this entry. */
   start(callerAddress: string): void;
   getLive(): LiveState;
-  /** What control grants to this entry. */
+  /** Shares of the limits that control grants to this entry. */
   getGrant(): EntryGrant;
   isConnected(): boolean;
-  /** Time, in ms, since control was last heard. */
-  getSilenceMs(): number;
-  beginClaim(claim: ClaimName & { requestHash: string }): Promise<BegunClaim>;
-  /** Records an end; kept and sent again until control has it. */
-  endClaim(ending: ClaimEnding): void;
-  /** Tells control at once, without waiting for the next heartbeat. */
+  /** Time, in ms, since control last sent a welcome or acknowledged a heartbeat. */
+  getLastContactAgeMs(): number;
+  beginClaim(claim: ClaimId & { requestHash: string }): Promise<ClaimAttempt>;
+  /** Records the end of a claim, and resends it until control acknowledges it. */
+  endClaim(ending: ClaimCompletion): void;
+  /** Sends a heartbeat now instead of at the next interval. */
   report(): void;
-  /** Resolves once control has all ends, or the time is over. */
-  settle(timeoutMs: number): Promise<void>;
+  /** Resolves once control has acknowledged all claim ends, or after the timeout. */
+  flush(timeoutMs: number): Promise<void>;
 }
 
 interface Session {
@@ -105,38 +105,38 @@
   readonly client: wire.AgentClient;
   readonly address: string;
   welcomed: boolean;
-  /** When control was heard last, in ms for which it could be. */
-  heardMs: number;
+  /** Time of the last message from control, in ms of the listening clock. */
+  lastReceivedMs: number;
 }
 
 const UNAVAILABLE: ClaimAnswer = { verdict: "unavailable" };
 
-/** Longest wait, in ms, before the next control process is asked at first. */
-const FIRST_RETRY_MS = 100;
+/** Longest delay, in ms, before the first reconnection attempt. */
+const FIRST_RETRY_DELAY_MS = 100;
 
 /**
- * Longest wait, in ms, before the next control process is asked: claims are turned
- * away until one is found that leads.
+ * Longest delay, in ms, before any reconnection attempt: claims are rejected until
+ * the leader is found.
  */
-const MAX_RETRY_MS = 400;
+const MAX_RETRY_DELAY_MS = 400;
 
 /**
- * Control processes in a row that may name another one at once: two that name each
- * other must not be asked without a pause.
+ * Consecutive redirects that are followed without a delay. Two control processes that
+ * redirect to each other would otherwise be contacted in a tight loop.
  */
-const MAX_QUICK_REDIRECTS = 3;
+const MAX_IMMEDIATE_REDIRECTS = 3;
 
-/** Ms for the answer to a claim; then it counts as unavailable. */
+/** Time, in ms, for the answer to a claim; after that it counts as unavailable. */
 const CLAIM_TIMEOUT_MS = 3_000;
 
 /**
- * Makes the agent.
+ * Creates the control agent.
  *
- * It keeps one session with the control leader: asked at any control process,
- * it is told who leads. A control process that is silent is left for another.
+ * It keeps one session with the control leader. Any control process redirects it to
+ * the leader; one that stops responding is replaced by the next.
  *
- * @param options - Settings, the configuration's copy, what to report.
- * @returns The agent; disposing of it ends the session.
+ * @param options - Settings, the configuration replica and the source of reports.
+ * @returns The agent; disposing of it closes the session.
  * @throws Nothing.
  * @example
  * await using agent = createAgent(options);
@@ -149,18 +149,18 @@
   let grant: EntryGrant = { accounts: {}, intervals: {} };
   let session: Session | undefined;
   let nextAddress = Math.floor(Math.random() * addresses.length);
-  let lastHeardMs = now();
-  // Control processes in a row that did not take this entry in.
+  let lastContactMs = now();
+  // Sessions lost in a row since the last welcome.
   let failures = 0;
   let nextCall = 1;
-  const listening = createListeningClock({
+  const listeningClock = createListeningClock({
     now,
     lookIntervalMs: settings.heartbeatIntervalMs,
   });
   let closed = false;
   let callerAddress = "";
   const calls = new Map<number, (answer: ClaimAnswer) => void>();
-  const endings = new Map<number, ClaimEnding>();
+  const pendingEnds = new Map<number, ClaimCompletion>();
 
   function open(address: string): void {
     if (closed) return;
@@ -175,22 +175,22 @@
       client,
       address,
       welcomed: false,
-      heardMs: listening.now(),
+      lastReceivedMs: listeningClock.now(),
     };
     session = opened;
     let redirected: string | undefined;
     stream.on("data", (message: wire.ControlMessage) => {
       if (session !== opened) return;
-      opened.heardMs = listening.now();
+      opened.lastReceivedMs = listeningClock.now();
       if (message.body?.$case === "redirect") {
         redirected = message.body.value.leaderAddress;
-        lose(opened, { reason: message.body.value.reason, redirected });
+        closeSession(opened, { reason: message.body.value.reason, redirected });
         return;
       }
       take(opened, message);
     });
-    stream.on("error", () => lose(opened, { reason: "cut" }));
-    stream.on("end", () => lose(opened, { reason: "ended" }));
+    stream.on("error", () => closeSession(opened, { reason: "cut" }));
+    stream.on("end", () => closeSession(opened, { reason: "ended" }));
     send({ $case: "hello", value: makeHello() });
   }
 
@@ -210,35 +210,35 @@
     session?.stream.write({ body });
   }
 
-  function lose(
-    lost: Session,
+  function closeSession(
+    closing: Session,
     cause: { reason: string; redirected?: string },
   ): void {
-    if (session !== lost) return;
+    if (session !== closing) return;
     session = undefined;
-    lost.stream.on("error", () => {});
-    lost.stream.cancel();
-    lost.client.close();
+    closing.stream.on("error", () => {});
+    closing.stream.cancel();
+    closing.client.close();
     for (const [call, resolve] of calls) {
       calls.delete(call);
       resolve(UNAVAILABLE);
     }
-    if (lost.welcomed) {
-      log("controlLost", { address: lost.address, reason: cause.reason });
+    if (closing.welcomed) {
+      log("controlLost", { address: closing.address, reason: cause.reason });
     }
     if (closed) return;
     const { redirected = "" } = cause;
     failures += 1;
-    const isNamed = redirected !== "";
-    const next = isNamed ? redirected : takeNextAddress();
-    const isQuick = isNamed && failures <= MAX_QUICK_REDIRECTS;
-    setTimeout(() => open(next), isQuick ? 0 : getWaitMs());
+    const isRedirect = redirected !== "";
+    const next = isRedirect ? redirected : takeNextAddress();
+    const isImmediate = isRedirect && failures <= MAX_IMMEDIATE_REDIRECTS;
+    setTimeout(() => open(next), isImmediate ? 0 : getRetryDelayMs());
   }
 
-  function getWaitMs(): number {
+  function getRetryDelayMs(): number {
     return getRetryWaitMs(failures, {
-      firstMs: FIRST_RETRY_MS,
-      maxMs: MAX_RETRY_MS,
+      firstMs: FIRST_RETRY_DELAY_MS,
+      maxMs: MAX_RETRY_DELAY_MS,
       random: options.random,
     });
   }
@@ -255,49 +255,49 @@
         from.welcomed = true;
         failures = 0;
         log("controlConnected", { address: from.address });
-        lastHeardMs = now();
+        lastContactMs = now();
         clusterId = body.value.clusterId;
         heartbeat();
-        return sendEndings();
+        return sendPendingEnds();
       case "config":
-        return takeConfig(body.value);
+        return applyConfig(body.value);
       case "live":
-        return takeLive(body.value);
+        return applyLiveState(body.value);
       case "grant":
         grant = JSON.parse(body.value.grant) as EntryGrant;
         return;
       case "heartbeatAck":
-        lastHeardMs = now();
+        lastContactMs = now();
         return;
       case "claimResult":
-        return takeClaimResult(body.value);
+        return handleClaimResult(body.value);
     }
   }
 
   let clusterId = config.getClusterId();
 
-  function takeConfig(update: wire.ConfigUpdate): void {
-    const taken = config.take({
+  function applyConfig(update: wire.ConfigUpdate): void {
+    const result = config.take({
       clusterId,
       revision: update.revision,
       full: update.full,
       changes: JSON.parse(update.resources) as ResourceChange[],
     });
     const { revision } = config.getState();
-    if (taken === "applied") {
+    if (result === "applied") {
       log("configApplied", { revision });
       metrics.gauge("config.revision", revision);
       heartbeat();
     }
-    if (taken === "stale" && update.revision < revision) {
+    if (result === "stale" && update.revision < revision) {
       log("configStale", { offered: update.revision, revision });
       metrics.count("config.stale");
     }
-    // The session is opened anew and names what is here.
-    if (taken === "gap" && session) lose(session, { reason: "gap" });
+    // The new session's hello names the revision held here, so control fills the gap.
+    if (result === "gap" && session) closeSession(session, { reason: "gap" });
   }
 
-  function takeLive(update: wire.LiveUpdate): void {
+  function applyLiveState(update: wire.LiveUpdate): void {
     const { term, version } = update;
     const newer = term > liveVersion.term ||
       (term === liveVersion.term && version >= liveVersion.version);
@@ -307,10 +307,10 @@
     live = takeLiveChange(live, change);
   }
 
-  function takeClaimResult(result: wire.ClaimResult): void {
+  function handleClaimResult(result: wire.ClaimResult): void {
     const { call } = result;
-    if (endings.has(call)) {
-      if (result.verdict !== "unavailable") endings.delete(call);
+    if (pendingEnds.has(call)) {
+      if (result.verdict !== "unavailable") pendingEnds.delete(call);
       return;
     }
     const resolve = calls.get(call);
@@ -318,8 +318,8 @@
     resolve?.(result as unknown as ClaimAnswer);
   }
 
-  function sendEndings(): void {
-    for (const [call, ending] of endings) {
+  function sendPendingEnds(): void {
+    for (const [call, ending] of pendingEnds) {
       send({ $case: "claimEnd", value: { call, ...ending } });
     }
   }
@@ -336,13 +336,13 @@
   }
 
   function tick(): void {
-    listening.look();
-    const silentMs = listening.now() - (session?.heardMs ?? 0);
+    listeningClock.look();
+    const silentMs = listeningClock.now() - (session?.lastReceivedMs ?? 0);
     if (session && silentMs > settings.controlSilenceMs) {
-      lose(session, { reason: "silent" });
+      closeSession(session, { reason: "silent" });
     }
     heartbeat();
-    if (endings.size > 0 && session?.welcomed) sendEndings();
+    if (pendingEnds.size > 0 && session?.welcomed) sendPendingEnds();
   }
 
   const timer = setInterval(tick, settings.heartbeatIntervalMs);
@@ -354,7 +354,7 @@
     getLive: () => live,
     getGrant: () => grant,
     isConnected: () => session?.welcomed ?? false,
-    getSilenceMs: () => now() - lastHeardMs,
+    getLastContactAgeMs: () => now() - lastContactMs,
     async beginClaim(claim) {
       const attempt = nextCall++;
       if (!session?.welcomed) return { attempt, answer: UNAVAILABLE };
@@ -373,15 +373,15 @@
     },
     endClaim(ending) {
       const call = nextCall++;
-      endings.set(call, ending);
+      pendingEnds.set(call, ending);
       if (session?.welcomed) {
         send({ $case: "claimEnd", value: { call, ...ending } });
       }
     },
     report: heartbeat,
-    async settle(timeoutMs) {
+    async flush(timeoutMs) {
       const untilMs = now() + timeoutMs;
-      while (endings.size > 0 && now() < untilMs) {
+      while (pendingEnds.size > 0 && now() < untilMs) {
         await new Promise((resolve) => setTimeout(resolve, 10));
       }
     },
--- a/src/entry/create_config_replica.ts
+++ b/src/entry/create_config_replica.ts
@@ -1,5 +1,5 @@
 /**
- * The entry's copy of the accepted state: it only ever goes forward.
+ * The entry's replica of the accepted configuration; its revision never decreases.
  *
  * @module
  */
@@ -14,26 +14,26 @@
   takeChanges,
 } from "../resources/index.ts";
 
-/** A piece of configuration as control sends it. */
-export interface ConfigPiece {
+/** A configuration update from control: a whole state or changes to it. */
+export interface ConfigUpdate {
   readonly clusterId: string;
   readonly revision: number;
-  /** Whether it replaces all that was there. */
+  /** Whether it replaces the whole state. */
   readonly full: boolean;
   readonly changes: readonly ResourceChange[];
 }
 
-/** What became of a piece. */
-export type ConfigTaken = "applied" | "stale" | "gap" | "other_cluster";
+/** Result of applying an update. */
+export type ConfigUpdateResult = "applied" | "stale" | "gap" | "other_cluster";
 
-/** The entry's copy of the accepted state. */
+/** The entry's replica of the accepted configuration. */
 export interface ConfigReplica {
   getState(): ResourceState;
   getClusterId(): string;
-  take(piece: ConfigPiece): ConfigTaken;
+  take(update: ConfigUpdate): ConfigUpdateResult;
 }
 
-/** The replica as it is kept on a disk. */
+/** The replica as stored on disk. */
 export interface SavedConfig {
   readonly clusterId: string;
   readonly resources: ResourceStateData;
@@ -41,21 +41,21 @@
 
 /** Options of {@link createConfigReplica}. */
 export interface CreateConfigReplicaOptions {
-  /** What stood on the disk, if any. */
+  /** The replica read from disk, if any. */
   readonly saved?: SavedConfig;
-  /** Called after each step forward. */
+  /** Called after each applied update. */
   readonly onChange?: (state: ResourceState) => void;
 }
 
 /**
- * Makes the entry's copy of the accepted state.
+ * Creates the entry's replica of the accepted configuration.
  *
- * A piece of a lower or equal revision, or of another cluster, changes
- * nothing; a piece that does not follow on what is there is a gap, and the
- * whole state has to be asked for.
+ * An update with a lower or equal revision, or from another cluster, is ignored. An
+ * update that doesn't follow directly on the current revision is a gap: the missing
+ * changes have to be requested from control.
  *
- * @param options - What stood on the disk, and who hears of steps.
- * @returns The copy.
+ * @param options - The replica read from disk, and a listener for changes.
+ * @returns The replica.
  * @throws Nothing.
  * @example
  * const config = createConfigReplica();
@@ -69,33 +69,37 @@
     ? parseResourceStateData(saved.resources)
     : createResourceState();
 
-  function take(piece: ConfigPiece): ConfigTaken {
-    if (clusterId !== "" && piece.clusterId !== clusterId) {
+  function applyUpdate(update: ConfigUpdate): ConfigUpdateResult {
+    if (clusterId !== "" && update.clusterId !== clusterId) {
       return "other_cluster";
     }
-    if (piece.revision <= state.revision && state.revision > 0) return "stale";
-    const changes = piece.full
-      ? piece.changes
-      : piece.changes.filter((change) => change.revision > state.revision);
-    const first = changes[0]?.revision ?? piece.revision;
-    if (!piece.full && first !== state.revision + 1) return "gap";
-    const base = piece.full ? createResourceState() : state;
+    if (update.revision <= state.revision && state.revision > 0) return "stale";
+    const changes = update.full
+      ? update.changes
+      : update.changes.filter((change) => change.revision > state.revision);
+    const first = changes[0]?.revision ?? update.revision;
+    if (!update.full && first !== state.revision + 1) return "gap";
+    const base = update.full ? createResourceState() : state;
     const next = takeChanges(base, changes);
-    clusterId = piece.clusterId;
-    // Entries answer no watches and no repeated changes: no history is kept.
-    state = { ...next, revision: piece.revision, history: [] };
+    clusterId = update.clusterId;
+    // Entries serve neither watches nor retried changes, so they need no history.
+    state = { ...next, revision: update.revision, history: [] };
     onChange(state);
     return "applied";
   }
 
-  return { getState: () => state, getClusterId: () => clusterId, take };
+  return {
+    getState: () => state,
+    getClusterId: () => clusterId,
+    take: applyUpdate,
+  };
 }
 
 /**
- * Gets the copy as it is kept on a disk.
+ * Gets the replica in its stored form.
  *
- * @param config - The copy.
- * @returns Its plain data.
+ * @param config - The replica.
+ * @returns Plain data that can be written as JSON.
  * @throws Nothing.
  * @example
  * const text = JSON.stringify(getSavedConfig(config));
--- a/src/entry/create_config_replica_test.ts
+++ b/src/entry/create_config_replica_test.ts
@@ -2,7 +2,7 @@
 import * as assert from "uvu/assert";
 import type { ResourceChange } from "../model/index.ts";
 import {
-  type ConfigPiece,
+  type ConfigUpdate,
   createConfigReplica,
   getSavedConfig,
 } from "./create_config_replica.ts";
@@ -15,10 +15,10 @@
   return { revision, kind, name, resource };
 }
 
-function makePiece(
+function makeUpdate(
   revisions: readonly number[],
-  overrides: Partial<ConfigPiece> = {},
-): ConfigPiece {
+  overrides: Partial<ConfigUpdate> = {},
+): ConfigUpdate {
   return {
     clusterId: "c",
     revision: revisions[revisions.length - 1],
@@ -28,41 +28,41 @@
   };
 }
 
-test("changes that follow are applied, older ones are not", () => {
+test("newer changes are applied, older ones are ignored", () => {
   const config = createConfigReplica();
-  assert.is(config.take(makePiece([1, 2])), "applied");
-  assert.is(config.take(makePiece([3])), "applied");
-  assert.is(config.take(makePiece([1, 2])), "stale");
-  assert.is(config.take(makePiece([2], { full: true })), "stale");
+  assert.is(config.take(makeUpdate([1, 2])), "applied");
+  assert.is(config.take(makeUpdate([3])), "applied");
+  assert.is(config.take(makeUpdate([1, 2])), "stale");
+  assert.is(config.take(makeUpdate([2], { full: true })), "stale");
   assert.is(config.getState().revision, 3);
   assert.is(config.getState().resources.size, 3);
 });
 
-test("a gap is no step", () => {
+test("an update after a gap is not applied", () => {
   const config = createConfigReplica();
-  config.take(makePiece([1]));
-  assert.is(config.take(makePiece([3])), "gap");
+  config.take(makeUpdate([1]));
+  assert.is(config.take(makeUpdate([3])), "gap");
   assert.is(config.getState().revision, 1);
-  assert.is(config.take(makePiece([1, 2, 3])), "applied");
+  assert.is(config.take(makeUpdate([1, 2, 3])), "applied");
 });
 
-test("a whole state replaces what was there", () => {
+test("a full update replaces the whole state", () => {
   const config = createConfigReplica();
-  config.take(makePiece([1, 2]));
-  assert.is(config.take(makePiece([9], { full: true })), "applied");
+  config.take(makeUpdate([1, 2]));
+  assert.is(config.take(makeUpdate([9], { full: true })), "applied");
   assert.is(config.getState().resources.size, 1);
 });
 
-test("another cluster is refused, also after a restart from the disk", () => {
+test("another cluster's update is rejected, also after loading from disk", () => {
   const config = createConfigReplica();
-  config.take(makePiece([1]));
+  config.take(makeUpdate([1]));
   const saved = getSavedConfig(config);
-  const again = createConfigReplica({ saved });
-  assert.is(again.getState().revision, 1);
-  const foreign = makePiece([7], { full: true, clusterId: "other" });
-  assert.is(again.take(foreign), "other_cluster");
-  assert.is(again.take(makePiece([1])), "stale");
-  assert.is(again.take(makePiece([2])), "applied");
+  const restarted = createConfigReplica({ saved });
+  assert.is(restarted.getState().revision, 1);
+  const foreign = makeUpdate([7], { full: true, clusterId: "other" });
+  assert.is(restarted.take(foreign), "other_cluster");
+  assert.is(restarted.take(makeUpdate([1])), "stale");
+  assert.is(restarted.take(makeUpdate([2])), "applied");
 });
 
 test.run();
--- a/src/entry/create_demand_meter.ts
+++ b/src/entry/create_demand_meter.ts
@@ -1,29 +1,29 @@
 /**
- * Meters how often things are asked for.
+ * Measures request rates by name.
  *
  * @module
  */
 
-/** Meters demand by name. */
+/** Measures request rates by name. */
 export interface DemandMeter {
   count(name: string): void;
-  /** Requests a second by name; those not asked for lately are left out. */
-  getPerS(): Record<string, number>;
+  /** Requests per second by name; names without recent requests are left out. */
+  getRatesPerS(): Record<string, number>;
 }
 
 /** Options of {@link createDemandMeter}. */
 export interface CreateDemandMeterOptions {
   /** Monotonic time, in ms. */
   readonly now: () => number;
-  /** Time, in ms, over which the demand is averaged. */
+  /** Time constant of the moving average, in ms. */
   readonly windowMs?: number;
 }
 
-/** Time, in ms, over which the demand is averaged. */
+/** Time constant of the moving average, in ms. */
 const DEFAULT_WINDOW_MS = 2_000;
 
-/** Demand below this, in requests a second, counts as none. */
-const LEAST_PER_S = 0.05;
+/** Rates below this, in requests per second, are dropped. */
+const MIN_RATE_PER_S = 0.05;
 
 interface Rate {
   perS: number;
@@ -31,12 +31,12 @@
 }
 
 /**
- * Makes a meter.
+ * Creates a demand meter.
  *
- * Each request adds to an average that fades with time, so that the meter
- * needs no timer and a name that is no longer asked for fades away.
+ * Rates are exponentially weighted moving averages that decay when they are read, so
+ * the meter needs no timer and unused names drop out.
  *
- * @param options - The time and the window.
+ * @param options - The clock and the time constant.
  * @returns The meter.
  * @throws Nothing.
  * @example
@@ -48,26 +48,26 @@
 ): DemandMeter {
   const { now, windowMs = DEFAULT_WINDOW_MS } = options;
   const rates = new Map<string, Rate>();
-  const fade = (rate: Rate, nowMs: number) =>
+  const decay = (rate: Rate, nowMs: number) =>
     rate.perS * Math.exp((rate.updatedMs - nowMs) / windowMs);
   return {
     count(name) {
       const nowMs = now();
-      const known = rates.get(name) ?? { perS: 0, updatedMs: nowMs };
-      known.perS = fade(known, nowMs) + 1_000 / windowMs;
-      known.updatedMs = nowMs;
-      rates.set(name, known);
+      const entry = rates.get(name) ?? { perS: 0, updatedMs: nowMs };
+      entry.perS = decay(entry, nowMs) + 1_000 / windowMs;
+      entry.updatedMs = nowMs;
+      rates.set(name, entry);
     },
-    getPerS() {
+    getRatesPerS() {
       const nowMs = now();
-      const perS: Record<string, number> = {};
+      const ratesPerS: Record<string, number> = {};
       for (const [name, rate] of rates) {
-        const faded = fade(rate, nowMs);
-        if (faded < LEAST_PER_S) rates.delete(name);
-        // Rounded, so that what control grants does not change without need.
-        else perS[name] = Number(faded.toPrecision(2));
+        const decayed = decay(rate, nowMs);
+        if (decayed < MIN_RATE_PER_S) rates.delete(name);
+        // Rounded, so that small fluctuations don't change the grants of control.
+        else ratesPerS[name] = Number(decayed.toPrecision(2));
       }
-      return perS;
+      return ratesPerS;
     },
   };
 }
--- a/src/entry/create_request_log.ts
+++ b/src/entry/create_request_log.ts
@@ -1,5 +1,5 @@
 /**
- * The newest requests and what happened to them, for `explain`.
+ * Traces of the most recent requests, for `explain`.
  *
  * @module
  */
@@ -8,7 +8,7 @@
 import type { Outcome } from "../model/index.ts";
 import type { TraceStep } from "./request_context.ts";
 
-/** What is kept of a request. */
+/** The trace of a request. */
 export interface RequestTrace {
   readonly requestId: string;
   readonly service: string;
@@ -17,31 +17,31 @@
   readonly outcome: Outcome | "running";
 }
 
-/** A request that is being traced. */
-export interface OpenTrace {
-  note(what: string): void;
+/** The trace of a request in flight. */
+export interface ActiveTrace {
+  addStep(what: string): void;
   end(outcome: Outcome): void;
 }
 
-/** The newest requests. */
+/** Traces of the most recent requests. */
 export interface RequestLog {
   open(
-    of: Pick<RequestTrace, "requestId" | "service" | "clientAccount">,
-  ): OpenTrace;
+    request: Pick<RequestTrace, "requestId" | "service" | "clientAccount">,
+  ): ActiveTrace;
   find(requestId: string): RequestTrace | undefined;
 }
 
-/** Requests that are kept. */
+/** Number of requests whose traces are kept. */
 const MAX_TRACES = 2_000;
 
-/** Steps of one request that are kept. */
-const MAX_STEPS = 64;
+/** Number of steps kept for each request. */
+const MAX_TRACE_STEPS = 64;
 
 /**
- * Makes the log of the newest requests.
+ * Creates a log of the most recent requests.
  *
- * @param options - Monotonic time, in ms.
- * @returns The log, empty.
+ * @param options - A monotonic clock, in ms.
+ * @returns An empty log.
  * @throws Nothing.
  * @example
  * const requests = createRequestLog({ now });
@@ -50,18 +50,18 @@
   const { now } = options;
   const traces = new Map<string, RequestTrace & { steps: TraceStep[] }>();
   return {
-    open(of) {
+    open(request) {
       const startedMs = now();
       const trace = {
-        ...of,
+        ...request,
         steps: [] as TraceStep[],
         outcome: "running" as RequestTrace["outcome"],
       };
-      traces.set(of.requestId, trace);
+      traces.set(request.requestId, trace);
       forgetOldest(traces, MAX_TRACES);
       return {
-        note(what) {
-          if (trace.steps.length >= MAX_STEPS) return;
+        addStep(what) {
+          if (trace.steps.length >= MAX_TRACE_STEPS) return;
           trace.steps.push({ atMs: now() - startedMs, what });
         },
         end(outcome) {
--- a/src/entry/create_request_tracker.ts
+++ b/src/entry/create_request_tracker.ts
@@ -1,5 +1,5 @@
 /**
- * Opens and closes requests: their ids, terms, traces and counts.
+ * Tracks requests in flight: their ids, options, traces and metrics.
  *
  * @module
  */
@@ -8,38 +8,38 @@
 import type { Logger } from "../logs/index.ts";
 import type { Metrics, RefusalReason } from "../metrics/index.ts";
 import { HEADERS, type Outcome, type Resource } from "../model/index.ts";
-import { abortWhenGone } from "./abort_when_gone.ts";
-import type { OpenTrace, RequestLog } from "./create_request_log.ts";
+import { abortOnDisconnect } from "./abort_on_disconnect.ts";
+import type { ActiveTrace, RequestLog } from "./create_request_log.ts";
 import { getProblem } from "./entry_error.ts";
 import {
   type AccountIndex,
   makeRefusal,
   readAccount,
-  readTerms,
+  readRequestOptions,
 } from "./read_request.ts";
 import type { RequestContext } from "./request_context.ts";
 
-/** A request that is being served. */
-export interface OpenRequest {
+/** A request in flight. */
+export interface ActiveRequest {
   readonly context: RequestContext;
-  readonly trace: OpenTrace;
+  readonly trace: ActiveTrace;
 }
 
-/** Opens and closes requests. */
+/** Tracks requests in flight. */
 export interface RequestTracker {
-  /** Throws a {@link RequestProblemError} where it is refused. */
+  /** Starts tracking; throws a {@link RequestProblemError} if it is refused. */
   open(
     request: FastifyRequest,
-    given: { service: Resource<"service">; signal: AbortSignal },
-  ): OpenRequest;
-  close(open: OpenRequest, outcome: Outcome): void;
-  /** Opens a request, serves it, and closes it with its outcome. */
+    params: { service: Resource<"service">; signal: AbortSignal },
+  ): ActiveRequest;
+  close(active: ActiveRequest, outcome: Outcome): void;
+  /** Tracks a request while it is served, and records its outcome. */
   track(
     request: FastifyRequest,
     reply: FastifyReply,
-    given: {
+    params: {
       service: Resource<"service">;
-      serve: (open: OpenRequest) => Promise<Outcome>;
+      serve: (active: ActiveRequest) => Promise<Outcome>;
     },
   ): Promise<FastifyReply>;
   getInFlight(): number;
@@ -50,8 +50,8 @@
   readonly vm: string;
   readonly getAccounts: () => AccountIndex;
   readonly requests: RequestLog;
-  /** Why no new request is taken now, if so. */
-  readonly findClosedReason: () => RefusalReason | undefined;
+  /** Gets the reason for refusing new requests, if there is one. */
+  readonly findRefusalReason: () => RefusalReason | undefined;
   readonly log: Logger;
   readonly metrics: Metrics;
   /** Monotonic time, in ms. */
@@ -59,9 +59,9 @@
 }
 
 /**
- * Makes what opens and closes requests.
+ * Creates a request tracker.
  *
- * @param options - The entry's name, the accounts, logs and metrics.
+ * @param options - The entry's VM, client accounts, logs and metrics.
  * @returns The tracker.
  * @throws Nothing.
  * @example
@@ -71,21 +71,24 @@
   options: CreateRequestTrackerOptions,
 ): RequestTracker {
   const { log, metrics, now } = options;
-  // Two starts of an entry give no id twice.
-  const prefix = `${options.vm}-${Date.now().toString(36)}`;
+  // The start time keeps ids unique across restarts of an entry.
+  const idPrefix = `${options.vm}-${Date.now().toString(36)}`;
   let inFlight = 0;
   let nextRequest = 1;
 
   function open(
     request: FastifyRequest,
-    given: { service: Resource<"service">; signal: AbortSignal },
-  ): OpenRequest {
-    const { service, signal } = given;
+    params: { service: Resource<"service">; signal: AbortSignal },
+  ): ActiveRequest {
+    const { service, signal } = params;
     const account = readAccount(request, options.getAccounts());
-    const closed = options.findClosedReason();
+    const closed = options.findRefusalReason();
     if (closed) throw makeRefusal(closed, { status: 503, retryAfterS: 1 });
-    const { timeoutMs, ...terms } = readTerms(request, service);
-    const requestId = `${prefix}-${nextRequest++}`;
+    const { timeoutMs, ...requestOptions } = readRequestOptions(
+      request,
+      service,
+    );
+    const requestId = `${idPrefix}-${nextRequest++}`;
     const startedMs = now();
     const trace = options.requests.open({
       requestId,
@@ -93,48 +96,48 @@
       clientAccount: account.name,
     });
     const context: RequestContext = {
-      ...terms,
+      ...requestOptions,
       requestId,
       account,
       service,
       startedMs,
       deadlineMs: startedMs + timeoutMs,
       signal,
-      note: trace.note,
+      addStep: trace.addStep,
     };
     inFlight += 1;
     metrics.count("requests.started");
     return { context, trace };
   }
 
-  function close(opened: OpenRequest, outcome: Outcome): void {
-    const { requestId, service, startedMs } = opened.context;
+  function close(active: ActiveRequest, outcome: Outcome): void {
+    const { requestId, service, startedMs } = active.context;
     inFlight -= 1;
     metrics.count(`requests.${outcome}`);
     metrics.timing("requests.duration_ms", now() - startedMs);
-    opened.trace.end(outcome);
+    active.trace.end(outcome);
     log("requestEnded", { requestId, service: service.name, outcome });
   }
 
   async function track(
     request: FastifyRequest,
     reply: FastifyReply,
-    given: Parameters<RequestTracker["track"]>[2],
+    params: Parameters<RequestTracker["track"]>[2],
   ): Promise<FastifyReply> {
-    const { service, serve } = given;
-    const signal = abortWhenGone(reply);
-    const opened = open(request, { service, signal });
-    reply.header(HEADERS.requestId, opened.context.requestId);
+    const { service, serve } = params;
+    const signal = abortOnDisconnect(reply);
+    const active = open(request, { service, signal });
+    reply.header(HEADERS.requestId, active.context.requestId);
     let outcome: Outcome = "unknown";
     try {
-      outcome = await serve(opened);
+      outcome = await serve(active);
       return reply;
     } catch (error) {
       outcome = getProblem(error)?.outcome ?? "unknown";
       throw error;
     } finally {
       if (signal.aborted) metrics.count("requests.caller_gone");
-      close(opened, outcome);
+      close(active, outcome);
     }
   }
 
--- a/src/entry/create_stream_store.ts
+++ b/src/entry/create_stream_store.ts
@@ -1,23 +1,23 @@
 /**
- * Streams of answers that a caller may come back to.
+ * Resumable answer streams.
  *
- * Each stream keeps its events until a while after its end; a reader gets
- * them from any place on and then as they come.
+ * Each stream buffers its events until the retention period after its end. A reader
+ * gets the events after any position, and then new ones as they arrive.
  *
  * @module
  */
 
 import { forgetOldest } from "../collections/index.ts";
 
-/** An event of a stream: its number counts from 1. */
+/** An event of a stream; ids count from 1. */
 export interface StreamEvent {
   readonly id: number;
-  /** Name of the event; empty for a token. */
+  /** Type of the event; empty for a token. */
   readonly name: string;
   readonly data: string;
 }
 
-/** A stream of answers. */
+/** The stream of one answer. */
 export interface AnswerStream {
   readonly requestId: string;
   /** The client account that may read it. */
@@ -25,18 +25,18 @@
   push(event: Omit<StreamEvent, "id">): void;
   end(): void;
   hasEvents(): boolean;
-  /** Resolves with the first event. */
+  /** Resolves at the first event. */
   readonly begun: Promise<void>;
   /**
-   * Events after `lastId`, then those that come; ends with the stream, or
-   * when the reader's signal is aborted.
+   * Yields the events after `lastId`, then new ones as they arrive, until the stream
+   * ends or the reader's signal is aborted.
    */
   read(lastId: number, signal: AbortSignal): AsyncGenerator<StreamEvent>;
-  /** Aborted when nobody has read for the grace time. */
+  /** Aborted when the stream has had no reader for the grace period. */
   readonly signal: AbortSignal;
 }
 
-/** The streams of this entry. */
+/** The answer streams of this entry. */
 export interface StreamStore {
   open(of: { requestId: string; clientAccount: string }): AnswerStream;
   find(requestId: string): AnswerStream | undefined;
@@ -44,26 +44,26 @@
 
 /** Options of {@link createStreamStore}. */
 export interface CreateStreamStoreOptions {
-  /** Time, in ms, for which a stream is kept after its end. */
-  readonly keepMs?: number;
-  /** Time, in ms, for which a stream without a reader goes on. */
+  /** Time, in ms, for which a stream is retained after its end. */
+  readonly retentionMs?: number;
+  /** Time, in ms, after which a stream without a reader is aborted. */
   readonly graceMs?: number;
 }
 
-/** Time, in ms, for which a stream is kept after its end. */
-export const DEFAULT_KEEP_MS = 60_000;
+/** Time, in ms, for which a stream is retained after its end. */
+export const DEFAULT_RETENTION_MS = 60_000;
 
-/** Time, in ms, for which a stream without a reader goes on. */
+/** Time, in ms, after which a stream without a reader is aborted. */
 export const DEFAULT_GRACE_MS = 5_000;
 
-/** Streams that are kept; the oldest that has ended goes first. */
+/** Number of streams kept; the oldest is evicted first. */
 const MAX_STREAMS = 4_096;
 
 /**
- * Makes the store of streams.
+ * Creates a stream store.
  *
- * @param options - For how long streams are kept.
- * @returns The store, empty.
+ * @param options - Retention and grace periods.
+ * @returns An empty store.
  * @throws Nothing.
  * @example
  * const streams = createStreamStore();
@@ -71,7 +71,8 @@
 export function createStreamStore(
   options: CreateStreamStoreOptions = {},
 ): StreamStore {
-  const { keepMs = DEFAULT_KEEP_MS, graceMs = DEFAULT_GRACE_MS } = options;
+  const { retentionMs = DEFAULT_RETENTION_MS, graceMs = DEFAULT_GRACE_MS } =
+    options;
   const streams = new Map<string, AnswerStream>();
 
   function open(
@@ -81,42 +82,42 @@
     const events: StreamEvent[] = [];
     const abort = new AbortController();
     let ended = false;
-    let readers = 0;
-    let wake: (() => void)[] = [];
-    let grace: NodeJS.Timeout | undefined;
+    let readerCount = 0;
+    let waiters: (() => void)[] = [];
+    let graceTimer: NodeJS.Timeout | undefined;
 
     function notify(): void {
-      const waiting = wake;
-      wake = [];
+      const waiting = waiters;
+      waiters = [];
       waiting.forEach((resume) => resume());
     }
 
-    function startGrace(): void {
-      if (ended || readers > 0) return;
-      grace = setTimeout(() => abort.abort(), graceMs);
+    function startGraceTimer(): void {
+      if (ended || readerCount > 0) return;
+      graceTimer = setTimeout(() => abort.abort(), graceMs);
     }
 
     async function* read(
       lastId: number,
       signal: AbortSignal,
     ): AsyncGenerator<StreamEvent> {
-      readers += 1;
-      clearTimeout(grace);
+      readerCount += 1;
+      clearTimeout(graceTimer);
       signal.addEventListener("abort", notify);
       try {
-        for (let at = Math.max(0, lastId); !signal.aborted;) {
-          if (at < events.length) yield events[at++];
+        for (let index = Math.max(0, lastId); !signal.aborted;) {
+          if (index < events.length) yield events[index++];
           else if (ended) return;
-          else await new Promise<void>((resolve) => wake.push(resolve));
+          else await new Promise<void>((resolve) => waiters.push(resolve));
         }
       } finally {
         signal.removeEventListener("abort", notify);
-        readers -= 1;
-        startGrace();
+        readerCount -= 1;
+        startGraceTimer();
       }
     }
 
-    const begun = new Promise<void>((resolve) => wake.push(resolve));
+    const begun = new Promise<void>((resolve) => waiters.push(resolve));
 
     const stream: AnswerStream = {
       requestId,
@@ -128,9 +129,9 @@
       },
       end() {
         ended = true;
-        clearTimeout(grace);
+        clearTimeout(graceTimer);
         if (events.length > 0) notify();
-        setTimeout(() => streams.delete(requestId), keepMs).unref();
+        setTimeout(() => streams.delete(requestId), retentionMs).unref();
       },
       hasEvents: () => events.length > 0,
       begun,
--- a/src/entry/create_upstream_table.ts
+++ b/src/entry/create_upstream_table.ts
@@ -1,5 +1,5 @@
 /**
- * What this entry knows of the upstreams, kept up by its own calls.
+ * The entry's view of its upstreams: configuration, load, health and limits.
  *
  * @module
  */
@@ -20,7 +20,7 @@
   type UpstreamView,
 } from "../routing/index.ts";
 
-/** One upstream; changed in place by the table alone. */
+/** The state of one upstream; only the table changes it. */
 interface UpstreamRecord extends UpstreamView {
   spec: UpstreamSpec;
   pool: string;
@@ -31,15 +31,15 @@
   share: number;
   ejectedUntilMs: number;
   backOffUntilMs: number;
-  /** Requests a second that it takes from all entries; Infinity if unlimited. */
+  /** Rate limit over all entries, in requests per second; Infinity if unlimited. */
   limitPerS: number;
-  /** Since when that is known, in ms. */
-  limitKnownMs: number;
+  /** When the limit was last updated, in ms. */
+  limitUpdatedMs: number;
   closed: boolean;
   layers: UpstreamView["layers"];
 }
 
-/** An upstream as others see it. */
+/** Read-only view of an upstream. */
 export type KnownUpstream = UpstreamView & {
   readonly spec: UpstreamSpec;
   readonly pool: string;
@@ -47,29 +47,29 @@
 
 /** The table of upstreams. */
 export interface UpstreamTable {
-  /** Takes over a configuration; what is known of its upstreams stays. */
-  takeConfig(state: ResourceState): void;
-  /** Takes over what the platform says of VMs. */
-  takeLive(live: LiveState): void;
+  /** Applies a configuration; upstreams that remain keep their state. */
+  applyConfig(state: ResourceState): void;
+  /** Applies the platform's state of the VMs. */
+  applyLiveState(live: LiveState): void;
   list(pool: string): readonly KnownUpstream[];
-  /** Counts a request that is sent there. */
+  /** Counts a request sent to the upstream as in flight. */
   begin(name: string): void;
   end(name: string): void;
-  /** Takes a result; returns whether the upstream is left out from now. */
-  takeResult(name: string, succeeded: boolean): boolean;
-  /** Takes it that an upstream wants no new work for a while. */
-  takeBackOff(name: string, backOffMs: number): void;
-  /** Takes what an upstream names in its answer to a request. */
-  takeLimit(name: string, answer: NamedLimit): void;
-  /** Takes this entry's place on the ring of each pool's capacity. */
-  takeIntervals(next: CapacityIntervals): void;
+  /** Records a result; returns whether it caused the upstream to be ejected. */
+  recordResult(name: string, succeeded: boolean): boolean;
+  /** Excludes an upstream from new requests for the back-off that it asked for. */
+  setBackOff(name: string, backOffMs: number): void;
+  /** Records the rate limit that an upstream announced in an answer. */
+  recordLimit(name: string, answer: AnnouncedLimit): void;
+  /** Applies this entry's interval on the ring of each pool's capacity. */
+  applyIntervals(next: CapacityIntervals): void;
 }
 
-/** A rate limit that an upstream named in its answer to a request. */
-export interface NamedLimit {
-  /** Requests a second from all entries together; Infinity where it names none. */
+/** A rate limit that an upstream announced in its answer to a request. */
+export interface AnnouncedLimit {
+  /** Requests per second over all entries; Infinity if it announces no limit. */
   readonly limitPerS: number;
-  /** When the request was sent, in ms; absent where the answer is a refusal. */
+  /** When the request was sent, in ms; absent if the answer is a refusal. */
   readonly sentMs?: number;
 }
 
@@ -80,28 +80,28 @@
   readonly now: () => number;
 }
 
-/** Time, in ms, there and back within a place. */
-const NEAR_ROUND_TRIP_MS = 0.5;
+/** Round-trip time, in ms, within a place. */
+const SAME_PLACE_ROUND_TRIP_MS = 0.5;
 
-/** Time, in ms, there and back to another place of the region. */
-const FAR_ROUND_TRIP_MS = 1.5;
+/** Round-trip time, in ms, to another place of the region. */
+const OTHER_PLACE_ROUND_TRIP_MS = 1.5;
 
 /**
- * Time, in ms, between two requests to an upstream that takes few or none, at most:
- * only an answer tells the end of its limit.
+ * Longest interval, in ms, between requests to an upstream with a low or zero rate
+ * limit: only an answer can show that the limit was raised or lifted.
  */
-const MAX_INTERVAL_MS = 10_000;
+const MAX_SEND_INTERVAL_MS = 10_000;
 
 const MS_PER_S = 1_000;
 
-/** Requests a second of an upstream of which no speed is declared. */
+/** Speed, in requests per second, of an upstream that declares none. */
 const DEFAULT_SPEED_PER_S = 200;
 
 /**
- * Makes the table of upstreams.
+ * Creates the table of upstreams.
  *
- * @param options - The entry's place and the time.
- * @returns The table, empty until a configuration is taken.
+ * @param options - The entry's place and a clock.
+ * @returns The table; empty until a configuration is applied.
  * @throws Nothing.
  * @example
  * const table = createUpstreamTable({ place: "bkk-1", now });
@@ -116,25 +116,28 @@
   let intervals: CapacityIntervals = {};
   const startedMs = now();
 
-  function takeConfig(state: ResourceState): void {
+  function applyConfig(state: ResourceState): void {
     byPool = new Map();
-    const named = new Set<string>();
-    const placed = findPlacedLayers(state);
+    const configured = new Set<string>();
+    const placedLayers = findPlacedLayers(state);
     for (const pool of listResources(state, "pool")) {
       const list = pool.spec.upstreams.map((spec) => {
-        named.add(spec.name);
-        return takeSpec(spec, { pool, layers: placed.get(spec.name) });
+        configured.add(spec.name);
+        return updateRecord(spec, {
+          pool,
+          layers: placedLayers.get(spec.name),
+        });
       });
       byPool.set(pool.name, list);
-      shareOut(list, pool.name);
+      assignShares(list, pool.name);
     }
     for (const name of records.keys()) {
-      if (!named.has(name)) records.delete(name);
+      if (!configured.has(name)) records.delete(name);
     }
   }
 
-  // Each group of upstreams that can stand for each other is a ring of its own.
-  function shareOut(list: readonly UpstreamRecord[], pool: string): void {
+  // Each group of interchangeable upstreams (same layers) has its own capacity ring.
+  function assignShares(list: readonly UpstreamRecord[], pool: string): void {
     const interval = intervals[pool];
     for (const group of groupByLayers(list)) {
       const shares = interval
@@ -144,7 +147,7 @@
     }
   }
 
-  function takeSpec(
+  function updateRecord(
     spec: UpstreamSpec,
     from: { pool: Resource<"pool">; layers: UpstreamView["layers"] },
   ): UpstreamRecord {
@@ -155,42 +158,43 @@
     record.layers = from.layers ?? spec.layers;
     record.speedPerS = getSpeedPerS(spec, record.layers);
     record.roundTripMs = spec.place === place
-      ? NEAR_ROUND_TRIP_MS
-      : FAR_ROUND_TRIP_MS;
+      ? SAME_PLACE_ROUND_TRIP_MS
+      : OTHER_PLACE_ROUND_TRIP_MS;
     record.closed = isClosed(spec);
     return record;
   }
 
   function makeRecord(spec: UpstreamSpec, pool: string): UpstreamRecord {
     const nowMs = now();
-    // Those of the first configuration are no newcomers: all start alike.
-    const knownSinceMs = records.size === 0 || nowMs - startedMs < FIRST_MS
-      ? -Infinity
-      : nowMs;
+    // Upstreams of the first configuration don't count as new: all start alike.
+    const knownSinceMs =
+      records.size === 0 || nowMs - startedMs < STARTUP_WINDOW_MS
+        ? -Infinity
+        : nowMs;
     return {
       name: spec.name,
       spec,
       pool,
       health: SOUND,
       speedPerS: DEFAULT_SPEED_PER_S,
-      roundTripMs: NEAR_ROUND_TRIP_MS,
+      roundTripMs: SAME_PLACE_ROUND_TRIP_MS,
       inFlight: 0,
       share: 1,
       knownSinceMs,
       ejectedUntilMs: 0,
       backOffUntilMs: 0,
       limitPerS: Infinity,
-      limitKnownMs: -Infinity,
+      limitUpdatedMs: -Infinity,
       closed: false,
       layers: spec.layers,
     };
   }
 
-  // An entry keeps to its share of the upstream, one request at a time: the shares of
-  // all entries add up to the whole limit.
-  function paceSends(record: UpstreamRecord): void {
+  // Spaces requests so that the entry stays within its share of the upstream's limit;
+  // the shares of all entries add up to the whole limit.
+  function delayNextSend(record: UpstreamRecord): void {
     const ratePerS = record.limitPerS * record.share;
-    const intervalMs = Math.min(MAX_INTERVAL_MS, MS_PER_S / ratePerS);
+    const intervalMs = Math.min(MAX_SEND_INTERVAL_MS, MS_PER_S / ratePerS);
     record.backOffUntilMs = Math.max(record.backOffUntilMs, now() + intervalMs);
   }
 
@@ -199,8 +203,8 @@
   }
 
   return {
-    takeConfig,
-    takeLive(live) {
+    applyConfig,
+    applyLiveState(live) {
       vms = live.vms;
       for (const record of records.values()) {
         record.closed = isClosed(record.spec);
@@ -211,13 +215,13 @@
       const record = records.get(name);
       if (!record) return;
       record.inFlight += 1;
-      if (record.limitPerS < Infinity) paceSends(record);
+      if (record.limitPerS < Infinity) delayNextSend(record);
     },
     end(name) {
       const record = records.get(name);
       if (record) record.inFlight = Math.max(0, record.inFlight - 1);
     },
-    takeResult(name, succeeded) {
+    recordResult(name, succeeded) {
       const record = records.get(name);
       if (!record) return false;
       const before = record.health.ejections;
@@ -225,7 +229,7 @@
       record.ejectedUntilMs = record.health.ejectedUntilMs;
       return record.health.ejections > before;
     },
-    takeBackOff(name, backOffMs) {
+    setBackOff(name, backOffMs) {
       const record = records.get(name);
       if (!record) return;
       record.backOffUntilMs = Math.max(
@@ -233,27 +237,27 @@
         now() + backOffMs,
       );
     },
-    takeLimit(name, { limitPerS, sentMs = -Infinity }) {
+    recordLimit(name, { limitPerS, sentMs = -Infinity }) {
       const record = records.get(name);
       if (!record || limitPerS === record.limitPerS) return;
-      // An answer to an earlier request may be older than the limit, and a refusal may
-      // come from what stands before the upstream.
+      // Only an answer to a request sent after the last update may raise the limit:
+      // others may be outdated, and a refusal may come from a proxy before the upstream.
       const isLower = limitPerS < record.limitPerS;
-      if (!isLower && sentMs <= record.limitKnownMs) return;
+      if (!isLower && sentMs <= record.limitUpdatedMs) return;
       record.limitPerS = limitPerS;
-      record.limitKnownMs = now();
-      if (isLower) paceSends(record);
+      record.limitUpdatedMs = now();
+      if (isLower) delayNextSend(record);
     },
-    takeIntervals(next) {
+    applyIntervals(next) {
       if (next === intervals) return;
       intervals = next;
-      byPool.forEach(shareOut);
+      byPool.forEach(assignShares);
     },
   };
 }
 
-/** Ms after the start within which upstreams are not newcomers. */
-const FIRST_MS = 5_000;
+/** Time, in ms, after the start in which added upstreams don't count as new. */
+const STARTUP_WINDOW_MS = 5_000;
 
 function groupByLayers(
   list: readonly UpstreamRecord[],
--- a/src/entry/entry_error.ts
+++ b/src/entry/entry_error.ts
@@ -10,7 +10,7 @@
 /** Base of all errors of the entry program. */
 export const EntryError = ModernError.subclass("EntryError");
 
-/** A request ends with a problem; `problem` is what the caller gets. */
+/** Ends a request with a problem; `problem` is the document sent to the caller. */
 export const RequestProblemError = EntryError.subclass("RequestProblemError", {
   props: { problem: undefined as Problem | undefined },
 });
@@ -19,7 +19,7 @@
  * Gets the problem that a request ends with.
  *
  * @param error - Any error.
- * @returns The problem, or undefined where it is no {@link RequestProblemError}.
+ * @returns The problem, or undefined if it is not a {@link RequestProblemError}.
  * @throws Nothing.
  * @example
  * const outcome = getProblem(error)?.outcome ?? "unknown";
--- a/src/entry/format_completion.ts
+++ b/src/entry/format_completion.ts
@@ -1,5 +1,5 @@
 /**
- * The usual shape of completions: what callers send and get.
+ * Parses and formats completions in the format of common completion APIs.
  *
  * @module
  */
@@ -24,13 +24,13 @@
   stream: Type.Optional(Type.Boolean()),
 });
 
-/** What a caller asks of a model service. */
+/** A completion request to a model service. */
 export interface CompletionCall {
   readonly service: string;
   readonly prompt: string;
   readonly maxTokens: number;
   readonly stream: boolean;
-  /** Whether it came in the shape of a chat. */
+  /** Whether it was sent as a list of chat messages. */
   readonly chat: boolean;
   readonly parameters: Readonly<Record<string, unknown>>;
 }
@@ -39,8 +39,8 @@
  * Reads a completion request.
  *
  * @param body - The request's body.
- * @returns What is asked.
- * @throws {RequestProblemError} Where the body is not such a request.
+ * @returns The parsed request.
+ * @throws {RequestProblemError} If the body is not a valid completion request.
  * @example
  * const call = readCompletionCall(body);
  */
@@ -83,9 +83,9 @@
 }
 
 /**
- * Formats a whole completion.
+ * Formats a non-streamed completion.
  *
- * @param answer - The tokens and how they came.
+ * @param answer - The tokens, and the path that generated them.
  * @param options - The request.
  * @returns The JSON document.
  * @throws Nothing.
--- a/src/entry/get_retry_after_s.ts
+++ b/src/entry/get_retry_after_s.ts
@@ -1,23 +1,23 @@
 /**
- * When callers may come again that no upstream could take.
+ * Retry-after time for callers whose request no upstream could accept.
  *
  * @module
  */
 
-/** Seconds where nothing better is known. */
-const LEAST_S = 1;
+/** Shortest retry-after time, in seconds. */
+const MIN_RETRY_AFTER_S = 1;
 
 const MS_PER_S = 1_000;
 
 /**
- * Gets the time to tell a caller.
+ * Gets the retry-after time to send to a caller.
  *
- * @param backOffLeftMs - Ms until back-offs end; 0 where no back-off is in the way.
+ * @param backOffLeftMs - Time, in ms, until back-offs end; 0 if there are none.
  * @returns Whole seconds.
  * @throws Nothing.
  * @example
  * getRetryAfterS(2_400); // 3
  */
 export function getRetryAfterS(backOffLeftMs: number): number {
-  return Math.max(LEAST_S, Math.ceil(backOffLeftMs / MS_PER_S));
+  return Math.max(MIN_RETRY_AFTER_S, Math.ceil(backOffLeftMs / MS_PER_S));
 }
--- a/src/entry/hop_headers.ts
+++ b/src/entry/hop_headers.ts
@@ -1,27 +1,27 @@
 /**
- * Headers that concern one connection only.
+ * Headers that are not forwarded between callers and upstreams.
  *
  * @module
  */
 
 import { CONNECTION_HEADERS } from "../http/index.ts";
 
-const HOP_HEADERS: ReadonlySet<string> = new Set([
+const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
   ...CONNECTION_HEADERS,
   "host",
-  // A client account's key is not the upstream's business.
+  // Upstreams must not see the key of a client account.
   "authorization",
 ]);
 
 /**
- * Tells whether a header is not passed on.
+ * Checks whether a header must not be forwarded.
  *
  * @param name - The header's name, in lower case.
- * @returns Whether it stays on this side.
+ * @returns Whether it is valid only on its own connection.
  * @throws Nothing.
  * @example
- * isHopHeader("connection"); // true
+ * isHopByHopHeader("connection"); // true
  */
-export function isHopHeader(name: string): boolean {
-  return HOP_HEADERS.has(name);
+export function isHopByHopHeader(name: string): boolean {
+  return HOP_BY_HOP_HEADERS.has(name);
 }
--- a/src/entry/index.ts
+++ b/src/entry/index.ts
@@ -1,5 +1,5 @@
 /**
- * The entry program: admits, routes, drives pipelines, answers callers.
+ * The entry program: admits and routes requests, runs pipelines, answers callers.
  *
  * @module
  */
--- a/src/entry/open_config_file.ts
+++ b/src/entry/open_config_file.ts
@@ -1,5 +1,5 @@
 /**
- * Keeps the last configuration on the disk of an entry that has one.
+ * Stores the last configuration on disk, for entries with a data folder.
  *
  * @module
  */
@@ -11,12 +11,12 @@
 
 /** The file of the last configuration. */
 export interface ConfigFile {
-  /** What stood there at start, if anything whole. */
+  /** The configuration found at start, if it was intact. */
   readonly saved: SavedConfig | undefined;
-  /** Writes a configuration; while one is being written only the newest waits. */
+  /** Queues a write; a newer configuration replaces one that is still queued. */
   write(config: SavedConfig): void;
-  /** Resolves once all is written. */
-  settle(): Promise<void>;
+  /** Resolves once all queued writes are done. */
+  flush(): Promise<void>;
 }
 
 const CONFIG_FILE = "config";
@@ -24,12 +24,12 @@
 /**
  * Opens the file of the last configuration.
  *
- * A file that is damaged counts as absent: control has the state.
+ * A damaged file counts as absent: control sends the whole state again.
  *
  * @param folder - The entry's data folder.
- * @param options - Who hears of failed writes.
+ * @param options - A listener for failed writes.
  * @returns The file.
- * @throws {Error} When the folder can't be made.
+ * @throws {Error} If the folder can't be created.
  * @example
  * const file = await openConfigFile("data", { onError });
  */
@@ -58,7 +58,7 @@
       waiting = config;
       writing ??= writeWaiting();
     },
-    async settle() {
+    async flush() {
       while (writing) await writing;
     },
   };
--- a/src/entry/read_request.ts
+++ b/src/entry/read_request.ts
@@ -1,5 +1,5 @@
 /**
- * Reads a caller's request: its account, service and headers.
+ * Reads the client account, service and options of a caller's request.
  *
  * @module
  */
@@ -11,25 +11,26 @@
 import { getResourceKey, type ResourceState } from "../resources/index.ts";
 import { RequestProblemError } from "./entry_error.ts";
 
-/** Time, in ms, that a request gets where nothing else is said. */
+/** Default timeout of a request, in ms. */
 export const DEFAULT_TIMEOUT_MS = 60_000;
 
-/** Longest time, in ms, that a caller may ask for. */
+/** Longest timeout, in ms, that a caller may request. */
 export const MAX_TIMEOUT_MS = 3_600_000;
 
-/** Priority where nothing else is said. */
+/** Default priority of a service. */
 export const DEFAULT_PRIORITY = 5;
 
 /** Longest idempotency key, in characters. */
 const MAX_KEY_LENGTH = 200;
 
-/** Client accounts by the SHA-256 of each of their keys. */
+/** Client accounts by the SHA-256 hash of each of their keys. */
 export type AccountIndex = ReadonlyMap<string, Resource<"clientAccount">>;
 
 /**
- * Makes the index of client accounts by key.
+ * Creates the index of client accounts by key.
  *
- * A key is looked up by its SHA-256, so the time taken tells nothing about it.
+ * Keys are looked up by their SHA-256 hash, so the lookup time reveals nothing about
+ * them.
  *
  * @param accounts - The client accounts.
  * @returns The index.
@@ -53,7 +54,7 @@
  * @param request - The request.
  * @param index - The client accounts.
  * @returns The account.
- * @throws {RequestProblemError} Where the key is missing or unknown.
+ * @throws {RequestProblemError} If the key is missing or unknown.
  * @example
  * const account = readAccount(request, index);
  */
@@ -71,9 +72,9 @@
  * Finds a service.
  *
  * @param name - The name that the caller gave.
- * @param options - The accepted state and the type that is wanted.
+ * @param options - The accepted state and the required type.
  * @returns The service.
- * @throws {RequestProblemError} Where there is none of that type.
+ * @throws {RequestProblemError} If there is no service of that name and type.
  * @example
  * const service = readService("drafting", { state, type: "model" });
  */
@@ -90,8 +91,8 @@
   return found;
 }
 
-/** What a caller's headers say. */
-export interface RequestTerms {
+/** Options of a request, from its headers and the defaults of its service. */
+export interface RequestOptions {
   readonly repeatable: boolean;
   readonly idempotencyKey: string | undefined;
   readonly timeoutMs: number;
@@ -99,47 +100,47 @@
 }
 
 /**
- * Reads what a caller's headers say of a request.
+ * Reads the options of a request from its headers.
  *
  * @param request - The request.
- * @param service - The service, whose defaults hold where they say nothing.
- * @returns The terms.
- * @throws {RequestProblemError} Where a header makes no sense.
+ * @param service - The service, whose defaults apply to missing headers.
+ * @returns The options of the request.
+ * @throws {RequestProblemError} If a header has an invalid value.
  * @example
- * const { deadlineMs } = readTerms(request, service);
+ * const { timeoutMs } = readRequestOptions(request, service);
  */
-export function readTerms(
+export function readRequestOptions(
   request: FastifyRequest,
   service: Resource<"service">,
-): RequestTerms {
+): RequestOptions {
   const { spec } = service;
-  const said = readHeader(request, HEADERS.repeatable);
-  if (said !== undefined && said !== "true" && said !== "false") {
-    throw badHeader(HEADERS.repeatable, "true or false");
+  const declared = readHeader(request, HEADERS.repeatable);
+  if (declared !== undefined && declared !== "true" && declared !== "false") {
+    throw headerError(HEADERS.repeatable, "true or false");
   }
-  const repeatable = said === undefined
+  const repeatable = declared === undefined
     ? spec.repeatable ?? isSafeMethod(request.method)
-    : said === "true";
+    : declared === "true";
   const idempotencyKey = readHeader(request, HEADERS.idempotencyKey);
   if (idempotencyKey !== undefined && idempotencyKey.length > MAX_KEY_LENGTH) {
-    throw badHeader(
+    throw headerError(
       HEADERS.idempotencyKey,
       `${MAX_KEY_LENGTH} characters at most`,
     );
   }
   const timeoutMs = readInteger(request, {
     header: HEADERS.deadlineMs,
-    most: MAX_TIMEOUT_MS,
-    least: 1,
+    max: MAX_TIMEOUT_MS,
+    min: 1,
   }) ?? spec.timeoutMs ?? DEFAULT_TIMEOUT_MS;
-  const declared = spec.priority ?? DEFAULT_PRIORITY;
-  const asked = readInteger(request, {
+  const servicePriority = spec.priority ?? DEFAULT_PRIORITY;
+  const requested = readInteger(request, {
     header: HEADERS.priority,
-    least: 0,
-    most: 9,
+    min: 0,
+    max: 9,
   });
-  // A caller may step back behind others, not in front of them.
-  const priority = Math.min(declared, asked ?? declared);
+  // A caller may lower its priority but not raise it.
+  const priority = Math.min(servicePriority, requested ?? servicePriority);
   return { repeatable, idempotencyKey, timeoutMs, priority };
 }
 
@@ -157,18 +158,18 @@
 
 function readInteger(
   request: FastifyRequest,
-  range: { header: string; least: number; most: number },
+  range: { header: string; min: number; max: number },
 ): number | undefined {
-  const { header, least, most } = range;
+  const { header, min, max } = range;
   const text = readHeader(request, header);
   if (text === undefined) return undefined;
   const value = Number(text);
-  const fits = Number.isInteger(value) && value >= least && value <= most;
-  if (!fits) throw badHeader(header, `a whole number from ${least} to ${most}`);
+  const fits = Number.isInteger(value) && value >= min && value <= max;
+  if (!fits) throw headerError(header, `a whole number from ${min} to ${max}`);
   return value;
 }
 
-function badHeader(header: string, allowed: string): Error {
+function headerError(header: string, allowed: string): Error {
   return makeRefusal("bad_request", {
     status: 400,
     detail: `Header ${header} must be ${allowed}`,
@@ -176,10 +177,10 @@
 }
 
 /**
- * Makes a refusal of a request that did not run.
+ * Creates the error that refuses a request before it runs.
  *
- * @param reason - Why.
- * @param options - The HTTP status, and words of its own.
+ * @param reason - Reason of the refusal.
+ * @param options - HTTP status, and optionally a detail message and a retry-after time.
  * @returns The error to throw.
  * @throws Nothing.
  * @example
--- a/src/entry/request_context.ts
+++ b/src/entry/request_context.ts
@@ -1,33 +1,33 @@
 /**
- * What an entry knows of a request while it serves it.
+ * Context of a request while the entry serves it.
  *
  * @module
  */
 
 import type { Resource } from "../model/index.ts";
 
-/** Something that happened to a request, for `explain`. */
+/** A step of a request's trace, for `explain`. */
 export interface TraceStep {
-  /** Ms since the request arrived. */
+  /** Time, in ms, since the request arrived. */
   readonly atMs: number;
   readonly what: string;
 }
 
-/** A request being served. */
+/** Context of a request in flight. */
 export interface RequestContext {
   readonly requestId: string;
   readonly account: Resource<"clientAccount">;
   readonly service: Resource<"service">;
   readonly repeatable: boolean;
-  /** The caller's key for a request that must not run twice. */
+  /** The caller's idempotency key for a request that must not run twice. */
   readonly idempotencyKey: string | undefined;
   readonly priority: number;
-  /** Monotonic time, in ms, when it arrived. */
+  /** Arrival, as monotonic time in ms. */
   readonly startedMs: number;
-  /** Monotonic time, in ms, after which the caller no longer wants it. */
+  /** Deadline, as monotonic time in ms. */
   readonly deadlineMs: number;
-  /** Aborted when nobody wants the answer any more. */
+  /** Aborted when the caller disconnects or the answer stream has no reader. */
   readonly signal: AbortSignal;
-  /** Notes a step for `explain`. */
-  readonly note: (what: string) => void;
+  /** Adds a step to the trace shown by `explain`. */
+  readonly addStep: (what: string) => void;
 }
--- a/src/entry/run_claimed.ts
+++ b/src/entry/run_claimed.ts
@@ -1,5 +1,5 @@
 /**
- * Runs what must not run twice under a claim.
+ * Runs requests that must not run twice under a claim on their idempotency key.
  *
  * @module
  */
@@ -7,11 +7,11 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { REFUSAL_REASONS, type RefusalReason } from "../metrics/index.ts";
 import type { Outcome } from "../model/index.ts";
-import type { Agent, BegunClaim, ClaimAnswer } from "./create_agent.ts";
+import type { Agent, ClaimAnswer, ClaimAttempt } from "./create_agent.ts";
 import { getProblem, RequestProblemError } from "./entry_error.ts";
 import type { RequestContext } from "./request_context.ts";
 
-/** A whole answer that a claim remembers. */
+/** A complete answer, as stored with a claim. */
 export interface ClaimedAnswer {
   readonly outcome: Outcome;
   readonly status: number;
@@ -19,16 +19,16 @@
   readonly body: string;
 }
 
-/** Answers up to this size, in bytes, are kept with the claim. */
-export const MAX_KEPT_BYTES = 16 * 1024;
+/** Largest answer, in bytes, that is stored with a claim. */
+export const MAX_STORED_BYTES = 16 * 1024;
 
-/** Ms between two looks at a claim that is running elsewhere. */
-const RUNNING_POLL_MS = 200;
+/** Polling interval, in ms, for a claim that is running elsewhere. */
+const CLAIM_POLL_MS = 200;
 
-/** Time, in ms, for which a repeat waits for the running answer. */
-const RUNNING_WAIT_MS = 10_000;
+/** Longest time, in ms, that a duplicate waits for the answer of the running request. */
+const CLAIM_WAIT_MS = 10_000;
 
-/** What a claimed run needs. */
+/** Options of {@link runClaimed}. */
 export interface RunClaimedOptions {
   readonly agent: Agent;
   readonly requestHash: string;
@@ -39,22 +39,22 @@
   readonly run: () => Promise<ClaimedAnswer>;
 }
 
-/** A claimed run's answer, and whether it was kept from an earlier run. */
+/** The answer of a claimed request, and whether it is replayed from an earlier run. */
 export interface ClaimedResult {
   readonly answer: ClaimedAnswer;
   readonly replayed: boolean;
 }
 
 /**
- * Runs a request under a claim, or gives what became of the earlier run.
+ * Runs a request under a claim, or returns the stored answer of an earlier run.
  *
- * The claim is durable on a quorum before the request is sent. Where there is
- * no quorum, the request does not run.
+ * The claim is durable on a quorum before the request is sent. Without a quorum the
+ * request does not run.
  *
- * @param context - The request; it has an idempotency key.
- * @param options - The agent, the request's hash, and what runs it.
+ * @param context - The request; it must have an idempotency key.
+ * @param options - The agent, the request's hash and the function that runs it.
  * @returns The answer.
- * @throws {RequestProblemError} Where it does not run, or may have run
+ * @throws {RequestProblemError} If it does not run, or may have run
  * elsewhere.
  * @example
  * const { answer } = await runClaimed(context, options);
@@ -64,42 +64,45 @@
   options: RunClaimedOptions,
 ): Promise<ClaimedResult> {
   const { agent, run } = options;
-  const name = {
+  const claimId = {
     clientAccount: context.account.name,
     key: context.idempotencyKey ?? "",
   };
   const { attempt, answer: claim } = await waitForClaim(context, options);
-  context.note(`claim ${claim.verdict}`);
+  context.addStep(`claim ${claim.verdict}`);
   if (claim.verdict === "ended") {
     const { outcome, status, contentType, body } = claim;
     return { answer: { outcome, status, contentType, body }, replayed: true };
   }
   if (claim.verdict !== "granted") {
-    // A claim that control may have recorded unseen is given back.
+    // Control may have recorded the claim although its answer was lost: release it.
     if (claim.verdict === "unavailable") {
-      agent.endClaim({ ...name, attempt, ...RELEASED });
+      agent.endClaim({ ...claimId, attempt, ...RELEASED_CLAIM });
     }
-    throw describeClaim(claim, options);
+    throw createClaimError(claim, options);
   }
-  let ending: ClaimedAnswer = { ...RELEASED, outcome: "unknown" };
+  let completion: ClaimedAnswer = { ...RELEASED_CLAIM, outcome: "unknown" };
   try {
-    ending = await run();
-    return { answer: ending, replayed: false };
+    completion = await run();
+    return { answer: completion, replayed: false };
   } catch (error) {
-    ending = { ...RELEASED, outcome: getProblem(error)?.outcome ?? "unknown" };
+    completion = {
+      ...RELEASED_CLAIM,
+      outcome: getProblem(error)?.outcome ?? "unknown",
+    };
     throw error;
   } finally {
-    const keep = ending.body.length <= MAX_KEPT_BYTES;
-    const body = keep ? ending.body : "";
-    agent.endClaim({ ...name, attempt, ...ending, body });
+    const keep = completion.body.length <= MAX_STORED_BYTES;
+    const body = keep ? completion.body : "";
+    agent.endClaim({ ...claimId, attempt, ...completion, body });
   }
 }
 
 /**
- * Tells whether a request may run only under a claim.
+ * Checks whether a request may run only under a claim.
  *
  * @param context - The request.
- * @returns Whether it must not run twice and somebody may send it again.
+ * @returns Whether it must not run twice and has an idempotency key.
  * @throws Nothing.
  * @example
  * if (needsClaim(context)) await runClaimed(context, options);
@@ -108,7 +111,7 @@
   return !context.repeatable && context.idempotencyKey !== undefined;
 }
 
-const RELEASED: ClaimedAnswer = {
+const RELEASED_CLAIM: ClaimedAnswer = {
   outcome: "not_run",
   status: 503,
   contentType: "",
@@ -118,24 +121,24 @@
 async function waitForClaim(
   context: RequestContext,
   options: RunClaimedOptions,
-): Promise<BegunClaim> {
+): Promise<ClaimAttempt> {
   const { agent, now, requestHash } = options;
-  const untilMs = Math.min(context.deadlineMs, now() + RUNNING_WAIT_MS);
+  const waitUntilMs = Math.min(context.deadlineMs, now() + CLAIM_WAIT_MS);
   while (true) {
     const begun = await agent.beginClaim({
       clientAccount: context.account.name,
       key: context.idempotencyKey ?? "",
       requestHash,
     });
-    const waits = begun.answer.verdict === "running" &&
+    const shouldWait = begun.answer.verdict === "running" &&
       !context.signal.aborted &&
-      now() + RUNNING_POLL_MS < untilMs;
-    if (!waits) return begun;
-    await sleep(RUNNING_POLL_MS);
+      now() + CLAIM_POLL_MS < waitUntilMs;
+    if (!shouldWait) return begun;
+    await sleep(CLAIM_POLL_MS);
   }
 }
 
-function describeClaim(
+function createClaimError(
   claim: ClaimAnswer,
   options: RunClaimedOptions,
 ): Error {
--- a/src/entry/run_model_request.ts
+++ b/src/entry/run_model_request.ts
@@ -1,6 +1,6 @@
 /**
- * Runs a request at a model service: drives its pipeline over the stages,
- * and goes on over others when one fails.
+ * Runs a request at a model service: drives its pipeline over a chain of stages, and
+ * continues on another chain if a stage fails.
  *
  * @module
  */
@@ -33,26 +33,26 @@
 import type { KnownUpstream, UpstreamTable } from "./create_upstream_table.ts";
 import { RequestProblemError } from "./entry_error.ts";
 import { getRetryAfterS } from "./get_retry_after_s.ts";
-import { noteBackOff } from "./note_back_off.ts";
+import { applyBackOff } from "./apply_back_off.ts";
 import type { RequestContext } from "./request_context.ts";
 
-/** What the caller asked for. */
+/** A call of a model service. */
 export interface ModelCall {
   readonly prompt: string;
   readonly maxTokens: number;
   readonly layerCount: number;
-  /** Other parameters of the request, passed on as they came. */
+  /** Other parameters of the request, forwarded unchanged. */
   readonly parameters: Readonly<Record<string, unknown>>;
   /** Called for each token, in order. */
   readonly onToken: (token: EmittedToken, position: number) => void;
 }
 
-/** A whole answer. */
+/** A complete answer. */
 export interface ModelAnswer {
   readonly tokens: readonly EmittedToken[];
-  /** Names of the stages that gave the last token. */
+  /** Names of the stages that generated the last token. */
   readonly path: readonly string[];
-  /** Chains that it took; 1 where no stage failed. */
+  /** Number of chains used; 1 if no stage failed. */
   readonly epochs: number;
 }
 
@@ -73,25 +73,25 @@
   readonly random: () => number;
 }
 
-/** Time, in ms, for a step of one token: a frozen stage shows by then. */
+/** Time, in ms, for a step of one token; a stage that exceeds it counts as stalled. */
 export const STEP_TIMEOUT_MS = 500;
 
-/** Time, in ms, for a step that runs a whole prompt. */
+/** Time, in ms, for a prefill step, which runs the whole prompt. */
 export const PREFILL_TIMEOUT_MS = 5_000;
 
-/** Chains that a request may take. */
+/** Number of chains that a request may use. */
 export const MAX_EPOCHS = 8;
 
-/** Time, in ms, for which a running request waits for a chain. */
+/** Longest time, in ms, that a request which has started waits for a new chain. */
 export const CHAIN_WAIT_MS = 10_000;
 
-/** Ms between two looks for a chain. */
+/** Polling interval, in ms, while waiting for a chain. */
 const CHAIN_POLL_MS = 50;
 
 /**
- * Makes what runs requests at model services.
+ * Creates a runner for requests at model services.
  *
- * @param options - The upstreams and the client for them.
+ * @param options - The upstream table, the client, metrics and a clock.
  * @returns The runner.
  * @throws Nothing.
  * @example
@@ -114,20 +114,20 @@
       if (!chain) {
         const backOffLeftMs = getBackOffLeftMs(context, call);
         const reason = backOffLeftMs > 0 ? "resting" : "no_chain";
-        throw endEarly(state, { sent, reason, backOffLeftMs });
+        throw createIncompleteError(state, { sent, reason, backOffLeftMs });
       }
       const path = chain.map((view) => view.name);
-      context.note(`epoch ${state.epoch + 1} over ${path.join(" > ")}`);
-      const outcome = await holdChain(context, { state, call, chain });
+      context.addStep(`epoch ${state.epoch + 1} over ${path.join(" > ")}`);
+      const outcome = await runTrackedEpoch(context, { state, call, chain });
       state = outcome.state;
       sent ||= outcome.sent;
       if (state.ended) {
         return { tokens: state.tokens, path, epochs: state.epoch };
       }
-      if (context.signal.aborted) throw new Error("The caller went away");
-      takeFailure(context, { ...outcome, tried });
+      if (context.signal.aborted) throw new Error("The caller disconnected");
+      handleStageFailure(context, { ...outcome, tried });
     }
-    throw endEarly(state, { sent, reason: "no_chain" });
+    throw createIncompleteError(state, { sent, reason: "no_chain" });
   }
 
   function getBackOffLeftMs(
@@ -141,7 +141,7 @@
     return findBackOffLeftMs(views, { nowMs, canSend }) ?? 0;
   }
 
-  async function holdChain(
+  async function runTrackedEpoch(
     context: RequestContext,
     epoch: Parameters<typeof runEpoch>[1],
   ): Promise<EpochOutcome> {
@@ -160,7 +160,7 @@
     request: { call: ModelCall; tried: Set<string>; sent: boolean },
   ): Promise<readonly KnownUpstream[] | undefined> {
     const { call, tried, sent } = request;
-    const untilMs = sent
+    const waitUntilMs = sent
       ? Math.min(context.deadlineMs, now() + CHAIN_WAIT_MS)
       : now();
     while (true) {
@@ -170,8 +170,8 @@
         random: random(),
         exclude: tried,
       });
-      // A request that runs already waits a while for a stage to come back.
-      if (chain || now() >= untilMs || context.signal.aborted) {
+      // A request that has started waits for a stage to recover.
+      if (chain || now() >= waitUntilMs || context.signal.aborted) {
         return chain as readonly KnownUpstream[] | undefined;
       }
       tried.clear();
@@ -181,7 +181,7 @@
 
   interface EpochOutcome {
     readonly state: PipelineState;
-    /** Whether a step may have reached a stage. */
+    /** Whether a stage may have run a step. */
     readonly sent: boolean;
     readonly failedAt?: string;
     readonly failure?: DispatchFailure;
@@ -206,7 +206,7 @@
     });
     let sent = false;
     while (!state.ended) {
-      const order = findOrder(effects);
+      const order = findStepOrder(effects);
       if (!order || context.signal.aborted) break;
       try {
         const output = await runStep(context, { order, call, chain, state });
@@ -243,7 +243,7 @@
       throw makeProblem({
         status: 500,
         reason: "pipeline_invariant",
-        detail: "The pipeline's order was broken",
+        detail: "A pipeline step violated the order of steps",
         outcome: "failed",
       });
     }
@@ -260,7 +260,7 @@
   ) {
     const { order, call, chain, state } = step;
     const view = chain[order.stageIndex];
-    const limitMs = order.prefill ? PREFILL_TIMEOUT_MS : STEP_TIMEOUT_MS;
+    const stepTimeoutMs = order.prefill ? PREFILL_TIMEOUT_MS : STEP_TIMEOUT_MS;
     const output = await callStage(client, {
       address: view.spec.address,
       requestId: context.requestId,
@@ -270,36 +270,42 @@
         : undefined,
       parameters: call.parameters,
       priority: context.priority,
-      timeoutMs: Math.max(1, Math.min(limitMs, context.deadlineMs - now())),
+      timeoutMs: Math.max(
+        1,
+        Math.min(stepTimeoutMs, context.deadlineMs - now()),
+      ),
     });
-    table.takeResult(view.name, true);
+    table.recordResult(view.name, true);
     return output;
   }
 
-  function takeFailure(
+  function handleStageFailure(
     context: RequestContext,
     failed: EpochOutcome & { tried: Set<string> },
   ): void {
     const { failure, failedAt, tried, state } = failed;
     if (!failure || failedAt === undefined) return;
     const { reason } = classifyFailure(failure);
-    // What a stage that asks for a back-off holds of other requests goes on.
+    // A stage that asks for a back-off continues the requests that it already runs.
     const { backOffMs } = failure;
-    if (backOffMs !== undefined) noteBackOff(failedAt, backOffMs, options);
-    // With the caller's time over, a stage that was cut short is not at fault.
+    if (backOffMs !== undefined) applyBackOff(failedAt, backOffMs, options);
+    // A step cut short by the caller's deadline is not the stage's fault.
     const ejected = now() < context.deadlineMs && backOffMs === undefined &&
-      table.takeResult(failedAt, false);
+      table.recordResult(failedAt, false);
     if (ejected) {
       metrics.count("upstream.ejected");
       log("upstreamEjected", { upstream: failedAt });
     }
     tried.add(failedAt);
     if (now() >= context.deadlineMs) {
-      throw endEarly(state, { sent: failed.sent, reason: "deadline_too_near" });
+      throw createIncompleteError(state, {
+        sent: failed.sent,
+        reason: "deadline_too_near",
+      });
     }
     metrics.countRetry(reason);
     metrics.count("pipeline.repairs");
-    context.note(`stage ${failedAt} failed: ${reason}`);
+    context.addStep(`stage ${failedAt} failed: ${reason}`);
     const { requestId } = context;
     log("chainRepaired", { requestId, upstream: failedAt, reason });
   }
@@ -318,7 +324,7 @@
   return { run };
 }
 
-function findOrder(
+function findStepOrder(
   effects: readonly PipelineEffect[],
 ): StepOrder | undefined {
   for (const effect of effects) {
@@ -333,12 +339,12 @@
   }
 }
 
-function endEarly(
+function createIncompleteError(
   state: PipelineState,
   end: { sent: boolean; reason: RefusalReason; backOffLeftMs?: number },
 ): Error {
   const { backOffLeftMs = 0 } = end;
-  // Tokens that the caller has make it a known bad end, not an unknown one.
+  // Once the caller has received tokens the outcome is a known failure.
   const outcome: Outcome = state.tokens.length > 0
     ? "failed"
     : end.sent
--- a/src/entry/run_plain_request.ts
+++ b/src/entry/run_plain_request.ts
@@ -1,5 +1,5 @@
 /**
- * Runs a request at a plain service: chooses, sends, tries again.
+ * Runs a request at a plain service: chooses an upstream, sends and retries.
  *
  * @module
  */
@@ -37,19 +37,19 @@
 import type { KnownUpstream, UpstreamTable } from "./create_upstream_table.ts";
 import { RequestProblemError } from "./entry_error.ts";
 import { getRetryAfterS } from "./get_retry_after_s.ts";
-import { noteBackOff } from "./note_back_off.ts";
+import { applyBackOff } from "./apply_back_off.ts";
 import type { RequestContext } from "./request_context.ts";
 
-/** What the caller sent. */
+/** The request as sent by the caller. */
 export interface PlainCall {
   readonly method: string;
-  /** Path at the service, with its query. */
+  /** Path within the service, including the query. */
   readonly path: string;
   readonly headers: Record<string, string | string[]>;
   readonly body: Uint8Array | undefined;
 }
 
-/** The answer for the caller: whole, or a stream whose end is yet to come. */
+/** The answer for the caller: a complete body, or a stream that may still fail. */
 export interface PlainAnswer {
   readonly status: number;
   readonly headers: IncomingHttpHeaders;
@@ -58,7 +58,7 @@
   readonly body: Buffer | Readable;
 }
 
-/** What a run needs of its program. */
+/** Runs requests at plain services. */
 export interface PlainRunner {
   run(context: RequestContext, call: PlainCall): Promise<PlainAnswer>;
 }
@@ -75,26 +75,26 @@
   readonly random: () => number;
 }
 
-/** Answers up to this size, in bytes, are read whole before they go on. */
-export const MAX_WHOLE_BYTES = 256 * 1024;
+/** Largest answer, in bytes, that is buffered before it is forwarded. */
+export const MAX_BUFFERED_BYTES = 256 * 1024;
 
-/** Time, in ms, that a request must have had before its timeout counts. */
-export const MIN_BLAMED_TIMEOUT_MS = 1_000;
+/** Shortest request timeout, in ms, whose expiry counts against the upstream. */
+export const MIN_CONCLUSIVE_TIMEOUT_MS = 1_000;
 
-/** Statuses that say a gateway or an overload stood before the service. */
+/** Statuses sent by a proxy before the service, or on overload. */
 const RETRYABLE_STATUSES = new Set([502, 503, 504]);
 
-/** A failed try and what it means. */
-interface FailedTry {
+/** A failed attempt and its classification. */
+interface FailedAttempt {
   readonly verdict: FailureVerdict;
-  /** The upstream's own answer, to pass on where it is not tried again. */
+  /** The upstream's own answer, forwarded if the request is not retried. */
   readonly answer?: PlainAnswer;
 }
 
 /**
- * Makes what runs requests at plain services.
+ * Creates a runner for requests at plain services.
  *
- * @param options - The upstreams and the client for them.
+ * @param options - The upstream table, the client, metrics and a clock.
  * @returns The runner.
  * @throws Nothing.
  * @example
@@ -123,18 +123,18 @@
       }) as KnownUpstream | undefined;
       if (!upstream) {
         const backOffLeftMs = getBackOffLeftMs(service.spec.pool);
-        throw refuseNoUpstream({ mayHaveRun, backOffLeftMs });
+        throw createNoUpstreamError({ mayHaveRun, backOffLeftMs });
       }
       tried.add(upstream.name);
-      context.note(`try ${tries} at ${upstream.name}`);
-      const result = await tryOnce(context, { call, upstream });
+      context.addStep(`attempt ${tries} at ${upstream.name}`);
+      const result = await sendOnce(context, { call, upstream });
       if (!("verdict" in result)) return result;
       const { verdict, answer } = result;
       mayHaveRun ||= verdict.outcome !== "not_run";
-      const afterMs = decide(context, { verdict, tries, answer });
+      const afterMs = planRetry(context, { verdict, tries, answer });
       if (afterMs === undefined) {
-        if (answer) return { ...answer, outcome: worst(verdict, mayHaveRun) };
-        throw giveUp(verdict, mayHaveRun);
+        if (answer) return { ...answer, outcome: combine(verdict, mayHaveRun) };
+        throw createFailureError(verdict, mayHaveRun);
       }
       await sleep(afterMs);
     }
@@ -148,10 +148,10 @@
     return findBackOffLeftMs(views, { nowMs, canSend }) ?? 0;
   }
 
-  async function tryOnce(
+  async function sendOnce(
     context: RequestContext,
     options: { call: PlainCall; upstream: KnownUpstream },
-  ): Promise<PlainAnswer | FailedTry> {
+  ): Promise<PlainAnswer | FailedAttempt> {
     const { call, upstream } = options;
     const { name, spec } = upstream;
     const sentMs = now();
@@ -167,8 +167,8 @@
       const notRun = saidNotRun(answer);
       const limitPerS = readRateLimit(answer.headers[HEADERS.rateLimit]);
       if (limitPerS !== undefined) {
-        const named = notRun ? { limitPerS } : { limitPerS, sentMs };
-        table.takeLimit(name, named);
+        const limit = notRun ? { limitPerS } : { limitPerS, sentMs };
+        table.recordLimit(name, limit);
       }
       const read = await readAnswer(answer, name);
       streaming = !Buffer.isBuffer(read.body);
@@ -176,35 +176,35 @@
         (read.body as Readable).once("close", () => table.end(name));
       }
       const backOffMs = readBackOffMs(answer);
-      return takeAnswer(read, { notRun, backOffMs });
+      return classifyAnswer(read, { notRun, backOffMs });
     } catch (error) {
       const failure = getFailure(error);
       if (!failure) throw error;
-      if (isUpstreamsFault(context, failure)) takeResult(name, false);
+      if (isUpstreamFault(context, failure)) recordResult(name, false);
       return { verdict: classifyFailure(failure) };
     } finally {
       if (!streaming) table.end(name);
     }
   }
 
-  // A caller that goes away, or gives too little time, says nothing about the
-  // upstream.
-  function isUpstreamsFault(
+  // A caller's disconnection or a very short timeout says nothing about the
+  // upstream's health.
+  function isUpstreamFault(
     context: RequestContext,
     failure: DispatchFailure,
   ): boolean {
     if (context.signal.aborted) return false;
     const givenMs = context.deadlineMs - context.startedMs;
-    return failure.fault !== "timeout" || givenMs >= MIN_BLAMED_TIMEOUT_MS;
+    return failure.fault !== "timeout" || givenMs >= MIN_CONCLUSIVE_TIMEOUT_MS;
   }
 
-  function takeAnswer(
+  function classifyAnswer(
     answer: PlainAnswer,
     { notRun, backOffMs }: { notRun: boolean; backOffMs: number | undefined },
-  ): PlainAnswer | FailedTry {
+  ): PlainAnswer | FailedAttempt {
     const { status, upstream } = answer;
-    if (backOffMs !== undefined) noteBackOff(upstream, backOffMs, options);
-    else takeResult(upstream, status < 500);
+    if (backOffMs !== undefined) applyBackOff(upstream, backOffMs, options);
+    else recordResult(upstream, status < 500);
     if (status < 500 && !notRun) return answer;
     const verdict = classifyFailure({
       phase: "answering",
@@ -215,15 +215,15 @@
     return { verdict, answer };
   }
 
-  function takeResult(upstream: string, succeeded: boolean): void {
-    const ejected = table.takeResult(upstream, succeeded);
+  function recordResult(upstream: string, succeeded: boolean): void {
+    const ejected = table.recordResult(upstream, succeeded);
     if (!ejected) return;
     metrics.count("upstream.ejected");
     log("upstreamEjected", { upstream });
   }
 
-  // The wait before the next try, or undefined where there is none.
-  function decide(
+  // Returns the delay before the next attempt, or undefined if there is none.
+  function planRetry(
     context: RequestContext,
     failed: { verdict: FailureVerdict; tries: number; answer?: PlainAnswer },
   ): number | undefined {
@@ -238,25 +238,25 @@
       random: random(),
     });
     if (!decision.retry) {
-      context.note(`not tried again: ${decision.why}`);
+      context.addStep(`not retried: ${decision.why}`);
       return undefined;
     }
     const { name } = context.service;
-    const left = spendRetry(budgets.get(name) ?? createRetryBudget());
-    if (!left) {
+    const remaining = spendRetry(budgets.get(name) ?? createRetryBudget());
+    if (!remaining) {
       metrics.count("retry.budget_spent");
-      context.note("not tried again: the budget is spent");
+      context.addStep("not retried: the retry budget is spent");
       return undefined;
     }
-    budgets.set(name, left);
-    noteRetry(context, verdict.reason);
+    budgets.set(name, remaining);
+    recordRetry(context, verdict.reason);
     if (answer && !Buffer.isBuffer(answer.body)) answer.body.destroy();
     return decision.afterMs;
   }
 
-  function noteRetry(context: RequestContext, reason: RetryReason): void {
+  function recordRetry(context: RequestContext, reason: RetryReason): void {
     metrics.countRetry(reason);
-    context.note(`tried again: ${reason}`);
+    context.addStep(`retrying: ${reason}`);
     const { requestId, service } = context;
     log("upstreamRetry", { requestId, service: service.name, reason });
   }
@@ -271,7 +271,7 @@
   const { status, headers, body } = answer;
   const outcome: Outcome = "done";
   const sizeBytes = Number(headers["content-length"] ?? NaN);
-  if (!(sizeBytes <= MAX_WHOLE_BYTES)) {
+  if (!(sizeBytes <= MAX_BUFFERED_BYTES)) {
     return { status, headers, upstream, outcome, body };
   }
   try {
@@ -281,21 +281,28 @@
     return { status, headers, upstream, outcome, body: whole };
   } catch (cause) {
     const failure: DispatchFailure = { phase: "answering", fault: "reset" };
-    throw new DispatchError(`The answer of ${upstream} was cut`, {
-      cause,
-      props: { failure },
-    });
+    throw new DispatchError(
+      `The connection to ${upstream} was reset during its answer`,
+      {
+        cause,
+        props: { failure },
+      },
+    );
   }
 }
 
-function worst(verdict: FailureVerdict, mayHaveRun: boolean): Outcome {
+// If an earlier attempt may have run, the outcome "not_run" of the last is unknown.
+function combine(
+  verdict: FailureVerdict,
+  mayHaveRun: boolean,
+): Outcome {
   return verdict.outcome === "not_run" && mayHaveRun
     ? "unknown"
     : verdict.outcome;
 }
 
-// Where upstreams are backed off, it is known until when: callers are told.
-function refuseNoUpstream(
+// If upstreams are backed off, the remaining time is sent to the caller as retry-after.
+function createNoUpstreamError(
   { mayHaveRun, backOffLeftMs }: { mayHaveRun: boolean; backOffLeftMs: number },
 ): Error {
   const reason = backOffLeftMs > 0 ? "resting" : "no_upstream";
@@ -313,9 +320,12 @@
   });
 }
 
-function giveUp(verdict: FailureVerdict, mayHaveRun: boolean): Error {
-  const outcome = worst(verdict, mayHaveRun);
-  const detail = `The upstream's answer did not come: ${verdict.reason}`;
+function createFailureError(
+  verdict: FailureVerdict,
+  mayHaveRun: boolean,
+): Error {
+  const outcome = combine(verdict, mayHaveRun);
+  const detail = `No complete answer from the upstream: ${verdict.reason}`;
   return new RequestProblemError(detail, {
     props: {
       problem: {
--- a/src/entry/serve_completion.ts
+++ b/src/entry/serve_completion.ts
@@ -1,5 +1,5 @@
 /**
- * Serves completions: whole, streamed, and taken up again.
+ * Serves completions, streamed and not streamed.
  *
  * @module
  */
@@ -14,7 +14,10 @@
 import { getResourceKey, type ResourceState } from "../resources/index.ts";
 import type { Admission } from "./create_admission.ts";
 import type { Agent } from "./create_agent.ts";
-import type { OpenRequest, RequestTracker } from "./create_request_tracker.ts";
+import type {
+  ActiveRequest,
+  RequestTracker,
+} from "./create_request_tracker.ts";
 import type { AnswerStream, StreamStore } from "./create_stream_store.ts";
 import { getProblem, RequestProblemError } from "./entry_error.ts";
 import {
@@ -53,7 +56,7 @@
   readonly now: () => number;
 }
 
-/** A completion that is to be served. */
+/** A completion request to serve. */
 interface CompletionRun {
   readonly reply: FastifyReply;
   readonly call: CompletionCall;
@@ -62,9 +65,9 @@
 }
 
 /**
- * Makes what serves completions.
+ * Creates a handler for completion requests.
  *
- * @param options - Admission, claims, streams, and what runs the requests.
+ * @param options - Admission, claims, streams and the request runner.
  * @returns A handler that answers one request.
  * @throws Nothing; the handler throws a {@link RequestProblemError}.
  * @example
@@ -78,7 +81,7 @@
     request: FastifyRequest,
     reply: FastifyReply,
   ): Promise<FastifyReply> {
-    // The key goes first: a stranger learns nothing of services.
+    // The key is checked first, so that unknown callers can't probe for services.
     readAccount(request, options.getAccounts());
     const call = readCompletionCall(request.body as Buffer | undefined);
     const state = options.getState();
@@ -97,22 +100,25 @@
     const { reply, service } = run;
     return await tracker.track(request, reply, {
       service,
-      serve: async (open) => {
-        const result = await runCompletion(open, { ...run, onToken: () => {} });
+      serve: async (active) => {
+        const result = await runCompletion(active, {
+          ...run,
+          onToken: () => {},
+        });
         writeWholeAnswer(reply, result);
         return result.answer.outcome;
       },
     });
   }
 
-  // Admission, the claim where one is needed, then the pipeline.
+  // Admits the request, claims its idempotency key if needed, and runs the pipeline.
   async function runCompletion(
-    open: OpenRequest,
+    active: ActiveRequest,
     run: CompletionRun & { onToken: (text: string) => void },
   ): Promise<ClaimedResult> {
-    const { context } = open;
+    const { context } = active;
     await using _slot = await admission.admit(context);
-    const runOnce = () => runPipeline(open, run);
+    const runOnce = () => runPipeline(active, run);
     if (!needsClaim(context)) {
       return { answer: await runOnce(), replayed: false };
     }
@@ -126,10 +132,10 @@
   }
 
   async function runPipeline(
-    open: OpenRequest,
+    active: ActiveRequest,
     run: CompletionRun & { onToken: (text: string) => void },
   ): Promise<ClaimedAnswer> {
-    const { context } = open;
+    const { context } = active;
     const { call, layerCount, onToken } = run;
     const { requestId, startedMs } = context;
     const answer = await runner.run(context, {
@@ -155,30 +161,31 @@
     run: CompletionRun,
   ): Promise<FastifyReply> {
     const { reply, call, service } = run;
-    // The request outlives its first connection: its stream ends it.
-    const link = new AbortController();
-    const open = tracker.open(request, { service, signal: link.signal });
-    const { requestId, account } = open.context;
+    // The request outlives its first connection: it is aborted by its stream, which
+    // has a grace period for reconnecting.
+    const abort = new AbortController();
+    const active = tracker.open(request, { service, signal: abort.signal });
+    const { requestId, account } = active.context;
     const stream = streams.open({ requestId, clientAccount: account.name });
-    stream.signal.addEventListener("abort", () => link.abort());
+    stream.signal.addEventListener("abort", () => abort.abort());
     const onToken = (text: string) =>
       stream.push({
         name: "",
         data: formatTokenEvent({ requestId, call, text }),
       });
-    const running = runCompletion(open, { ...run, onToken }).then(
-      (result) => finish(open, { stream, result }),
-      (error) => fail(open, { stream, error }),
+    const running = runCompletion(active, { ...run, onToken }).then(
+      (result) => finish(active, { stream, result }),
+      (error) => fail(active, { stream, error }),
     );
     const refused = await Promise.race([running, stream.begun]);
-    // Nothing was sent yet: the refusal is a plain problem document.
+    // Nothing was sent yet, so the error is answered with a problem document.
     if (refused) throw refused;
     await writeStream(reply, { stream, lastId: 0 });
     return reply;
   }
 
   function finish(
-    open: OpenRequest,
+    active: ActiveRequest,
     end: { stream: AnswerStream; result: ClaimedResult },
   ): undefined {
     const { stream, result } = end;
@@ -187,24 +194,24 @@
     stream.push({ name: "outcome", data: JSON.stringify({ outcome }) });
     stream.push({ name: "", data: "[DONE]" });
     stream.end();
-    tracker.close(open, outcome);
+    tracker.close(active, outcome);
   }
 
   function fail(
-    open: OpenRequest,
+    active: ActiveRequest,
     failed: { stream: AnswerStream; error: unknown },
   ): Error | undefined {
     const { stream, error } = failed;
-    const { requestId, signal } = open.context;
+    const { requestId, signal } = active.context;
     const problem = getProblem(error) ?? INTERNAL_PROBLEM;
     if (signal.aborted) metrics.count("requests.caller_gone");
     else if (!getProblem(error)) log("internalError", { error });
     log("requestFailed", { requestId, reason: problem.reason });
-    const begun = stream.hasEvents();
-    if (begun) stream.push({ name: "problem", data: formatProblem(problem) });
+    const started = stream.hasEvents();
+    if (started) stream.push({ name: "problem", data: formatProblem(problem) });
     stream.end();
-    tracker.close(open, problem.outcome);
-    if (begun) return undefined;
+    tracker.close(active, problem.outcome);
+    if (started) return undefined;
     return new RequestProblemError(problem.detail, { props: { problem } });
   }
 
--- a/src/entry/serve_plain.ts
+++ b/src/entry/serve_plain.ts
@@ -14,7 +14,7 @@
 import type { Admission } from "./create_admission.ts";
 import type { Agent } from "./create_agent.ts";
 import type { RequestTracker } from "./create_request_tracker.ts";
-import { isHopHeader } from "./hop_headers.ts";
+import { isHopByHopHeader } from "./hop_headers.ts";
 import { readService } from "./read_request.ts";
 import type { RequestContext } from "./request_context.ts";
 import { type ClaimedAnswer, needsClaim, runClaimed } from "./run_claimed.ts";
@@ -41,9 +41,9 @@
 }
 
 /**
- * Makes what serves requests to plain services.
+ * Creates a handler for requests to plain services.
  *
- * @param options - Admission, claims, and what runs the requests.
+ * @param options - Admission, claims and the request runner.
  * @returns A handler that answers one request.
  * @throws Nothing; the handler throws a {@link RequestProblemError}.
  * @example
@@ -74,15 +74,15 @@
 
   async function serveClaimed(
     context: RequestContext,
-    given: { call: PlainCall; reply: FastifyReply },
+    params: { call: PlainCall; reply: FastifyReply },
   ): Promise<Outcome> {
-    const { call, reply } = given;
+    const { call, reply } = params;
     const result = await runClaimed(context, {
       agent,
       now,
       requestHash: hashCall(call),
       countRefusal: metrics.countRefusal,
-      run: async () => await toClaimed(await runner.run(context, call)),
+      run: async () => await toClaimedAnswer(await runner.run(context, call)),
     });
     writeWholeAnswer(reply, result);
     return result.answer.outcome;
@@ -94,7 +94,7 @@
 function readPlainCall(request: PlainRequest, service: string): PlainCall {
   const headers: Record<string, string | string[]> = {};
   for (const [name, value] of Object.entries(request.headers)) {
-    if (value === undefined || isHopHeader(name)) continue;
+    if (value === undefined || isHopByHopHeader(name)) continue;
     headers[name] = value;
   }
   const path = request.url.slice(`/services/${service}`.length);
@@ -107,16 +107,16 @@
   };
 }
 
-async function toClaimed(answer: PlainAnswer): Promise<ClaimedAnswer> {
+async function toClaimedAnswer(answer: PlainAnswer): Promise<ClaimedAnswer> {
   return {
     outcome: answer.outcome,
     status: answer.status,
     contentType: String(answer.headers["content-type"] ?? ""),
-    body: await readWhole(answer.body),
+    body: await readBody(answer.body),
   };
 }
 
-async function readWhole(body: Buffer | Readable): Promise<string> {
+async function readBody(body: Buffer | Readable): Promise<string> {
   if (Buffer.isBuffer(body)) return body.toString("utf8");
   const chunks: Buffer[] = [];
   for await (const chunk of body) chunks.push(chunk as Buffer);
--- a/src/entry/start_entry.ts
+++ b/src/entry/start_entry.ts
@@ -1,5 +1,5 @@
 /**
- * The entry program put together.
+ * Starts the entry program and wires its parts together.
  *
  * @module
  */
@@ -33,9 +33,9 @@
 /** A running entry. */
 export interface EntryProgram {
   readonly port: number;
-  /** Revision that is in force here. */
+  /** Revision of the configuration that this entry applies. */
   getRevision(): number;
-  /** A planned stop: no request in flight is cut off. */
+  /** Stops gracefully: requests in flight have until the drain timeout to end. */
   stop(): Promise<void>;
 }
 
@@ -45,14 +45,14 @@
   readonly metrics: Metrics;
 }
 
-/** Ms between two looks at what the live state and gauges say. */
+/** Interval, in ms, for updating the live state, capacity intervals and gauges. */
 const REFRESH_INTERVAL_MS = 100;
 
-/** Time, in ms, in which control and the other entries hear of a leave. */
-const LEAVE_NEWS_MS = 500;
+/** Time, in ms, for a planned leave to reach control and the other entries. */
+const LEAVE_PROPAGATION_MS = 500;
 
-/** Time, in ms, for control to take the last ends of claims. */
-const SETTLE_TIMEOUT_MS = 5_000;
+/** Time, in ms, for control to acknowledge the last claim ends. */
+const CLAIM_FLUSH_TIMEOUT_MS = 5_000;
 
 /**
  * Starts the entry program.
@@ -60,7 +60,7 @@
  * @param settings - Its settings.
  * @param options - Logs and metrics.
  * @returns The running program.
- * @throws {Error} When its address is taken.
+ * @throws {Error} If its address is already in use.
  * @example
  * const entry = await startEntry(settings, { log, metrics });
  */
@@ -79,21 +79,21 @@
     });
   let accounts: AccountIndex = new Map();
   let leaving = false;
-  let closed = false;
+  let isClosed = false;
 
-  function takeState(state: ResourceState): void {
+  function applyState(state: ResourceState): void {
     accounts = createAccountIndex(listResources(state, "clientAccount"));
-    table.takeConfig(state);
+    table.applyConfig(state);
   }
 
   const config = createConfigReplica({
     saved: file?.saved,
     onChange: (state) => {
-      takeState(state);
+      applyState(state);
       file?.write(getSavedConfig(config));
     },
   });
-  takeState(config.getState());
+  applyState(config.getState());
 
   const server = createServer({
     limits: settings.limits,
@@ -123,19 +123,19 @@
     now,
   });
   const client = createUpstreamClient();
-  const shared = { table, client, metrics, log, now, random };
+  const runnerOptions = { table, client, metrics, log, now, random };
   const requests = createRequestLog({ now });
   const streams = createStreamStore();
   const tracker = createRequestTracker({
     vm: settings.vm,
     getAccounts: () => accounts,
     requests,
-    findClosedReason,
+    findRefusalReason,
     log,
     metrics,
     now,
   });
-  const serving = {
+  const handlerOptions = {
     getState: config.getState,
     getAccounts: () => accounts,
     tracker,
@@ -153,12 +153,12 @@
     getAccounts: () => accounts,
     agent,
     servePlain: createPlainServer({
-      ...serving,
-      runner: createPlainRunner(shared),
+      ...handlerOptions,
+      runner: createPlainRunner(runnerOptions),
     }),
     serveCompletion: createCompletionServer({
-      ...serving,
-      runner: createModelRunner(shared),
+      ...handlerOptions,
+      runner: createModelRunner(runnerOptions),
     }),
     streams,
     requests,
@@ -174,17 +174,18 @@
     settings.callerAddress ?? `${scheme}://${settings.listen.host}:${port}`,
   );
 
-  function findClosedReason(): RefusalReason | undefined {
-    if (closed) return "leaving";
+  function findRefusalReason(): RefusalReason | undefined {
+    if (isClosed) return "leaving";
     if (config.getState().revision === 0) return "no_config";
     const { maxConfigAgeMs } = settings;
-    const tooOld = maxConfigAgeMs > 0 && agent.getSilenceMs() > maxConfigAgeMs;
+    const tooOld = maxConfigAgeMs > 0 &&
+      agent.getLastContactAgeMs() > maxConfigAgeMs;
     return tooOld ? "stale_config" : undefined;
   }
 
   const refresh = setInterval(() => {
-    table.takeLive(agent.getLive());
-    table.takeIntervals(agent.getGrant().intervals);
+    table.applyLiveState(agent.getLive());
+    table.applyIntervals(agent.getGrant().intervals);
     metrics.gauge("requests.in_flight", tracker.getInFlight());
   }, REFRESH_INTERVAL_MS);
   log("started", { vm: settings.vm, port });
@@ -193,16 +194,17 @@
     log("stopping", { inFlight: tracker.getInFlight() });
     leaving = true;
     agent.report();
-    // Callers keep an answer for its time to live: work is taken till then.
-    await sleep(settings.entriesTtlMs + LEAVE_NEWS_MS);
-    closed = true;
+    // Callers cache the list of entries for its TTL, so requests are accepted until
+    // the last cached list has expired.
+    await sleep(settings.entriesTtlMs + LEAVE_PROPAGATION_MS);
+    isClosed = true;
     await drain();
-    await agent.settle(SETTLE_TIMEOUT_MS);
+    await agent.flush(CLAIM_FLUSH_TIMEOUT_MS);
     clearInterval(refresh);
     await closeServer(server);
     await agent[Symbol.asyncDispose]();
     await client[Symbol.asyncDispose]();
-    await file?.settle();
+    await file?.flush();
   }
 
   async function drain(): Promise<void> {
--- a/src/entry/write_answer.ts
+++ b/src/entry/write_answer.ts
@@ -1,5 +1,5 @@
 /**
- * Writes answers to callers: whole, streamed, kept from an earlier run.
+ * Writes answers to callers: buffered, streamed or replayed from an earlier run.
  *
  * @module
  */
@@ -10,7 +10,7 @@
 import type { FastifyReply } from "fastify";
 import { HEADERS, type Outcome } from "../model/index.ts";
 import type { AnswerStream } from "./create_stream_store.ts";
-import { isHopHeader } from "./hop_headers.ts";
+import { isHopByHopHeader } from "./hop_headers.ts";
 import type { ClaimedResult } from "./run_claimed.ts";
 import type { PlainAnswer } from "./run_plain_request.ts";
 
@@ -18,8 +18,8 @@
  * Writes the answer of a plain service.
  *
  * @param reply - The reply, of which nothing was sent yet.
- * @param answer - The answer; a stream is passed on as it comes.
- * @returns How it ended: the end of a stream is known only after it.
+ * @param answer - The answer; a stream is forwarded as it arrives.
+ * @returns The outcome; that of a stream is known only at its end.
  * @throws Nothing.
  * @example
  * const outcome = await writePlainAnswer(reply, answer);
@@ -30,30 +30,30 @@
 ): Promise<Outcome> {
   reply.code(answer.status).header(HEADERS.path, answer.upstream);
   for (const [name, value] of Object.entries(answer.headers)) {
-    if (value === undefined || isHopHeader(name)) continue;
+    if (value === undefined || isHopByHopHeader(name)) continue;
     reply.header(name, value);
   }
   if (!Buffer.isBuffer(answer.body)) {
-    return await passStream(answer.body, { answer, reply });
+    return await forwardStream(answer.body, { answer, reply });
   }
   reply.header(HEADERS.outcome, answer.outcome);
   reply.send(answer.body);
   return answer.outcome;
 }
 
-// The end of a long answer is not known at its head: it goes in the trailer.
-async function passStream(
+// The outcome of a stream is not known when its headers are sent: it goes in the trailer.
+async function forwardStream(
   body: Readable,
-  given: { answer: PlainAnswer; reply: FastifyReply },
+  params: { answer: PlainAnswer; reply: FastifyReply },
 ): Promise<Outcome> {
-  const { reply, answer } = given;
+  const { reply, answer } = params;
   const { raw } = reply;
   reply.hijack();
   const headers = reply.getHeaders() as Record<string, string>;
   raw.writeHead(answer.status, { ...headers, trailer: HEADERS.outcome });
   try {
     for await (const chunk of body) {
-      if (!raw.write(chunk)) await drained(raw);
+      if (!raw.write(chunk)) await waitForDrain(raw);
     }
     raw.addTrailers({ [HEADERS.outcome]: answer.outcome });
     raw.end();
@@ -64,16 +64,16 @@
   }
 }
 
-async function drained(raw: FastifyReply["raw"]): Promise<void> {
-  if (raw.destroyed) throw new Error("The caller went away");
+async function waitForDrain(raw: FastifyReply["raw"]): Promise<void> {
+  if (raw.destroyed) throw new Error("The caller disconnected");
   await Promise.race([once(raw, "drain"), once(raw, "close")]);
 }
 
 /**
- * Writes an answer that stands as a whole.
+ * Writes a complete answer.
  *
  * @param reply - The reply, of which nothing was sent yet.
- * @param result - The answer, and whether an earlier run gave it.
+ * @param result - The answer, and whether it is replayed from an earlier run.
  * @returns Nothing.
  * @throws Nothing.
  * @example
@@ -91,11 +91,11 @@
 }
 
 /**
- * Writes a stream of events from any place on.
+ * Writes the events of a stream after a given position.
  *
  * @param reply - The reply, of which nothing was sent yet.
- * @param from - The stream, and the number of the last event that is known.
- * @returns Nothing; it ends with the stream, or when the caller goes away.
+ * @param from - The stream, and the id of the last event that the caller has.
+ * @returns Nothing; resolves when the stream ends or the caller disconnects.
  * @throws Nothing.
  * @example
  * await writeStream(reply, { stream, lastId: 0 });
@@ -113,9 +113,9 @@
     [HEADERS.requestId]: stream.requestId,
     trailer: HEADERS.outcome,
   });
-  const gone = new AbortController();
-  raw.once("close", () => gone.abort());
-  for await (const event of stream.read(lastId, gone.signal)) {
+  const disconnect = new AbortController();
+  raw.once("close", () => disconnect.abort());
+  for await (const event of stream.read(lastId, disconnect.signal)) {
     const { id, name, data } = event;
     const head = name === "" ? `id: ${id}\n` : `id: ${id}\nevent: ${name}\n`;
     if (name === "outcome" || name === "problem") {
@@ -123,7 +123,7 @@
       raw.addTrailers({ [HEADERS.outcome]: outcome });
     }
     const written = raw.write(`${head}data: ${data}\n\n`);
-    if (!written) await drained(raw).catch(() => gone.abort());
+    if (!written) await waitForDrain(raw).catch(() => disconnect.abort());
   }
   raw.end();
 }
