--- a/test/bad_input_test.ts
+++ b/test/bad_input_test.ts
@@ -16,7 +16,7 @@
   context.trial = await startTrial();
 });
 
-// Absent where the fleet did not start: that failure is the one to see.
+// Undefined if the fleet did not start: its error must not be hidden by another one.
 test.after(async ({ trial }: { trial?: Trial }) => {
   await trial?.[Symbol.asyncDispose]();
 });
@@ -89,7 +89,7 @@
     reason: "unknown_key",
   },
   {
-    name: "a deadline that is no number",
+    name: "a deadline that is not a number",
     path: "/services/dashboard/a",
     headers: { "crowlever-deadline-ms": "soon" },
     status: 400,
@@ -143,19 +143,19 @@
   });
 }
 
-test("what is no HTTP at all is answered and closed", async ({ trial }) => {
+test("input that is not HTTP gets a 400 response and a closed connection", async ({ trial }) => {
   const answer = await sendRaw(trial.entries[0].address, "nonsense\r\n\r\n");
   assert.match(answer, /^HTTP\/1\.1 400/);
   assert.match(answer, /"reason":"bad_request"/);
 });
 
-test("a header that is too large is refused", async ({ trial }) => {
+test("a header that exceeds the size limit is rejected", async ({ trial }) => {
   const text = `GET / HTTP/1.1\r\nhost: a\r\nx: ${"y".repeat(40_000)}\r\n\r\n`;
   const answer = await sendRaw(trial.entries[0].address, text);
   assert.match(answer, /^HTTP\/1\.1 431/);
 });
 
-test("a caller that sends its request too slowly is refused", async () => {
+test("a request that is not received within the request timeout is rejected", async () => {
   await using fleet = await launchFleet({
     controls: 1,
     entries: 1,
@@ -168,7 +168,7 @@
   assert.match(answer, /^HTTP\/1\.1 408/);
 });
 
-test("callers that cut their connections leak nothing", async ({ trial }) => {
+test("requests of callers that disconnect are released", async ({ trial }) => {
   const { address } = trial.entries[0];
   for (const service of trial.plain) service.fault.frozen = true;
   const before = await readCounters(address);
@@ -191,10 +191,10 @@
     counters = await readCounters(address);
     return counters["requests.caller_gone"] === 50;
   });
-  // Not before: a request that had not reached its service yet would be
-  // answered, and end as done in the moment in which its caller left.
+  // Unfreezing earlier would race: a request that had not reached its service
+  // would be answered and end as done just as its caller disconnects.
   for (const service of trial.plain) service.fault.frozen = false;
-  // Callers that went away were first held against the upstreams.
+  // A disconnected caller must not count as a failure of the upstream.
   assert.is(counters["upstream.ejected"], undefined);
   const answer = await send(`${address}/services/dashboard/after`);
   assert.is(answer.headers["crowlever-outcome"], "done");
--- a/test/config_change_test.ts
+++ b/test/config_change_test.ts
@@ -1,5 +1,5 @@
 /**
- * A gateway that is told a change of a configuration which it doesn't have.
+ * A gateway that receives a configuration change whose base version it doesn't have.
  */
 
 import { test } from "uvu";
@@ -20,15 +20,15 @@
   return JSON.stringify(makeWireConfig(version));
 }
 
-/** A leader that answers each hello as the test says. */
+/** Starts a leader that answers each hello with the messages of `answer`. */
 function startLeader(answer: () => readonly LeaderMessage[]) {
-  return startSessionServer((message, tell) => {
+  return startSessionServer((message, send) => {
     if (message.type !== "hello") return;
-    [WELCOME, ...answer()].forEach(tell);
+    [WELCOME, ...answer()].forEach(send);
   });
 }
 
-function makeWhole(version: number): LeaderMessage {
+function makeFullConfig(version: number): LeaderMessage {
   return {
     type: "config",
     version,
@@ -36,7 +36,7 @@
   };
 }
 
-/** The change to a version, told to who has this document. */
+/** Makes the change that leads from a document to a version. */
 function makeChange(fromDocument: string, version: number): LeaderMessage {
   const document = makeDocument(version);
   return {
@@ -49,31 +49,37 @@
 }
 
 const CHANGES: Readonly<Record<string, LeaderMessage>> = {
-  "of another version": makeChange(makeDocument(5), 7),
-  "of another document under its version": makeChange(
+  "from another version": makeChange(makeDocument(5), 7),
+  "from another document of the same version": makeChange(
     JSON.stringify(makeWireConfig(3, { timeoutMs: 4_000 })),
     7,
   ),
 };
 
-for (const [what, change] of Object.entries(CHANGES)) {
-  test(`who is told a change ${what} asks for the whole`, async () => {
+for (const [name, change] of Object.entries(CHANGES)) {
+  test(`a gateway that receives a change ${name} requests the full configuration`, async () => {
     let answers = 0;
     await using leader = await startLeader(() => {
       answers += 1;
-      return answers === 1 ? [makeWhole(3), change] : [makeWhole(7)];
+      return answers === 1 ? [makeFullConfig(3), change] : [makeFullConfig(7)];
     });
     await using started = await startOneGateway([leader.address]);
-    await until("it has it", () => started.gateway.getVersion() === 7);
+    await until(
+      "the gateway has version 7",
+      () => started.gateway.getVersion() === 7,
+    );
     assert.equal(leader.hellos, [-1, -1]);
   });
 }
 
-test("who is told a change of what it has takes it", async () => {
+test("a gateway applies a change to the configuration that it has", async () => {
   const change = makeChange(makeDocument(3), 5);
-  await using leader = await startLeader(() => [makeWhole(3), change]);
+  await using leader = await startLeader(() => [makeFullConfig(3), change]);
   await using started = await startOneGateway([leader.address]);
-  await until("it has it", () => started.gateway.getVersion() === 5);
+  await until(
+    "the gateway has version 5",
+    () => started.gateway.getVersion() === 5,
+  );
   assert.equal(leader.hellos, [-1]);
 });
 
--- a/test/control_members_test.ts
+++ b/test/control_members_test.ts
@@ -1,5 +1,5 @@
 /**
- * Which control processes vote, and how those without a disk find the others.
+ * Which control processes vote, and how processes without a disk find the others.
  */
 
 import { mkdtemp, rm } from "node:fs/promises";
@@ -24,27 +24,27 @@
   readonly voters: number;
   readonly isObserver?: boolean;
   readonly isFirstStart?: boolean;
-  /** Names its data folder; an empty one of its own by default. */
-  readonly disk?: string;
+  /** Name of its data folder; a new empty folder by default. */
+  readonly folderName?: string;
 }
 
-/** Starts control processes in one folder; disposing of it ends them. */
-async function prepare(count: number) {
+/** Sets up control processes below one folder; disposal stops them. */
+async function prepareControls(count: number) {
   const folder = await mkdtemp(join(tmpdir(), "members-"));
   const addresses = await findSeeds(count);
   const running = new Set<FleetControl>();
-  let folders = 0;
+  let folderCount = 0;
   async function start(
     at: number,
     { isFirstStart = true, ...options }: ControlOptions,
   ): Promise<FleetControl> {
-    folders += 1;
+    folderCount += 1;
     const control = await startFleetControl({
       fleetId: "test",
       ...addresses[at],
       dataFolder: options.isObserver
         ? undefined
-        : join(folder, options.disk ?? String(folders)),
+        : join(folder, options.folderName ?? String(folderCount)),
       isFirstStart,
       voters: options.voters,
       beatIntervalMs: 200,
@@ -79,14 +79,14 @@
 }
 
 /** Starts the three processes that are each other's seeds. */
-function startFirst(
-  trial: Awaited<ReturnType<typeof prepare>>,
+function startSeeds(
+  trial: Awaited<ReturnType<typeof prepareControls>>,
   options: ControlOptions,
 ): Promise<FleetControl[]> {
   return Promise.all([0, 1, 2].map((at) => trial.start(at, options)));
 }
 
-function put(control: FleetControl, version: number) {
+function putConfig(control: FleetControl, version: number) {
   const document = JSON.stringify(makeWireConfig(version));
   return control.call({ type: "putConfig", packed: packDocument(document) });
 }
@@ -95,15 +95,15 @@
   return control.getState().members.map(({ role }) => role).sort();
 }
 
-test("a process without a disk passes calls on and never votes", async () => {
-  await using trial = await prepare(4);
+test("a process without a disk forwards calls and never votes", async () => {
+  await using trial = await prepareControls(4);
   const seeds = trial.addresses.slice(0, 3);
   const options = { seeds, voters: 3 };
-  const voters = await startFirst(trial, options);
+  const voters = await startSeeds(trial, options);
   const observer = await trial.start(3, { ...options, isObserver: true });
   await until(
-    "a call through it is taken",
-    async () => (await put(observer, 1)).type === "done",
+    "a call through the observer is accepted",
+    async () => (await putConfig(observer, 1)).type === "done",
   );
   assert.equal(listRoles(voters[0]), ["observer", "voter", "voter", "voter"]);
   const follower = voters.find((one) =>
@@ -111,15 +111,21 @@
   ) as FleetControl;
   await trial.stop(follower);
   await until(
-    "two voters still take changes",
-    async () => (await put(observer, 2)).type === "done",
+    "the two other voters accept changes",
+    async () => (await putConfig(observer, 2)).type === "done",
+  );
+  // Waits longer than the time after which a learner would replace the voter.
+  await until(
+    "the stopped voter counts as unresponsive",
+    () => isUnresponsive(voters, follower),
   );
-  // Longer than the silence after which a learner would take its place.
-  await until("its voter counts as silent", () => isSilent(voters, follower));
   assert.equal(listRoles(observer), ["observer", "voter", "voter", "voter"]);
 });
 
-function isSilent(all: readonly FleetControl[], one: FleetControl): boolean {
+function isUnresponsive(
+  all: readonly FleetControl[],
+  one: FleetControl,
+): boolean {
   const leader = all.find((control) => control.getState().role === "leader");
   const state = leader?.getState();
   if (!state) return false;
@@ -127,50 +133,50 @@
   return performance.now() - ackedSentMs > 3_500;
 }
 
-test("nothing is accepted before as many vote as the losses ask for", async () => {
-  await using trial = await prepare(6);
+test("no change is accepted before there are as many voters as the fault tolerance requires", async () => {
+  await using trial = await prepareControls(6);
   const seeds = trial.addresses.slice(0, 3);
   const options = { seeds, voters: 5 };
-  const first = await startFirst(trial, options);
+  const first = await startSeeds(trial, options);
   const findLeader = () =>
     first.find((one) => one.getState().role === "leader");
-  await until("one leads", () => findLeader() !== undefined);
-  assert.equal(await put(findLeader() as FleetControl, 1), {
+  await until("there is a leader", () => findLeader() !== undefined);
+  assert.equal(await putConfig(findLeader() as FleetControl, 1), {
     type: "unavailable",
     reason: "too few voters",
   });
   await Promise.all([3, 4, 5].map((at) => trial.start(at, options)));
   await until(
-    "it is taken",
-    async () => (await put(first[0], 1)).type === "done",
+    "the change is accepted",
+    async () => (await putConfig(first[0], 1)).type === "done",
   );
   const votes = listRoles(first[0]).filter((role) => role === "voter");
   assert.is(votes.length, 5);
 });
 
-test("a disk that is lost while all others lose power takes nothing accepted with it", async () => {
-  await using trial = await prepare(4);
+test("no accepted change is lost when one disk is lost while all processes lose power", async () => {
+  await using trial = await prepareControls(4);
   const seeds = trial.addresses.slice(0, 3);
   const options = { seeds, voters: 3 };
   const first = [0, 1, 2].map((at) =>
-    trial.start(at, { ...options, disk: `disk-${at}` })
+    trial.start(at, { ...options, folderName: `disk-${at}` })
   );
   const others = [trial.start(3, { ...options, isObserver: true })];
   const before = await Promise.all([...first, ...others]);
   await until(
-    "a change is taken",
-    async () => (await put(before[3], 7)).type === "done",
+    "a change is accepted",
+    async () => (await putConfig(before[3], 7)).type === "done",
   );
   await Promise.all(before.map(trial.stop));
-  // The one that led is back with an empty disk; who has none knows nobody.
-  const again = { ...options, isFirstStart: false };
+  // The first process starts again with an empty disk; the observer has no stored members.
+  const restarted = { ...options, isFirstStart: false };
   const after = await Promise.all([
-    trial.start(0, { ...again, disk: "disk-0-new" }),
-    trial.start(1, { ...again, disk: "disk-1" }),
-    trial.start(2, { ...again, disk: "disk-2" }),
-    trial.start(3, { ...again, isObserver: true }),
+    trial.start(0, { ...restarted, folderName: "disk-0-new" }),
+    trial.start(1, { ...restarted, folderName: "disk-1" }),
+    trial.start(2, { ...restarted, folderName: "disk-2" }),
+    trial.start(3, { ...restarted, isObserver: true }),
   ]);
-  await until("it is read back everywhere", async () => {
+  await until("all processes read the change", async () => {
     const replies = await Promise.all(
       after.map((one) => one.call({ type: "readConfig" })),
     );
@@ -180,23 +186,26 @@
   });
 });
 
-test("one without a disk is found again where it knows nobody", async () => {
-  await using trial = await prepare(4);
+test("an observer that restarts without known members is found by the leader", async () => {
+  await using trial = await prepareControls(4);
   const seeds = trial.addresses.slice(0, 3);
   const options = { seeds, voters: 3 };
-  const voters = await startFirst(trial, options);
+  const voters = await startSeeds(trial, options);
   const observer = await trial.start(3, { ...options, isObserver: true });
   const knowsLeader = (one: FleetControl) =>
     one.getLeaderCallerAddress() !== "";
-  await until("it knows the leader", () => knowsLeader(observer));
+  await until("the observer knows the leader", () => knowsLeader(observer));
   await trial.stop(observer);
-  const again = await trial.start(3, {
+  const restarted = await trial.start(3, {
     ...options,
     seeds: [trial.addresses[3]],
     isObserver: true,
     isFirstStart: false,
   });
-  await until("it knows the leader again", () => knowsLeader(again));
+  await until(
+    "the restarted observer knows the leader",
+    () => knowsLeader(restarted),
+  );
   assert.equal(listRoles(voters[0]), ["observer", "voter", "voter", "voter"]);
 });
 
--- a/test/crashing_request_test.ts
+++ b/test/crashing_request_test.ts
@@ -1,12 +1,11 @@
 /**
- * Callers saw most of their requests fail for half a minute: one request ended
- * each engine that began to run it, engines that were back a few seconds later
- * included. Each of its tries was sent to engine after engine, since one that is
- * gone doesn't count against the request, and its caller came again at other
- * gateways, none of which knew of the engines that had ended under it: 15 ended
- * in one series, 27 in another. Evidence: both series are of one path, account and
- * body; each run ends some 80 ms after it began, and the engine's address turns
- * connections down from then on.
+ * Guards against one request that crashes every engine that runs it. An unreachable
+ * engine doesn't count against a request, so each attempt was retried on engine after
+ * engine, restarted ones included, and the caller repeated the request at other
+ * gateways, which knew of no crash. One series crashed 15 engines and another 27, and
+ * most requests failed for half a minute. All runs of a series share path, account and
+ * body; each run ends some 80 ms after its start, and from then on the engine's address
+ * refuses connections.
  */
 
 import { setTimeout as sleep } from "node:timers/promises";
@@ -24,17 +23,17 @@
   type TestFleet,
 } from "./support/fleet.ts";
 
-/** Engines that one request may end, whoever sends it again. */
-const MOST_CRASHES = 3;
+/** Most engines that one request may crash, whichever gateway receives it. */
+const MAX_CRASHES = 3;
 
-/** Ms after which an engine that ended is back under its id. */
+/** Time after which a crashed engine restarts under the same id. */
 const RESTART_MS = 700;
 
-const BAD_BODY = "ends who runs it";
+const CRASHING_BODY = "ends who runs it";
 
-function armEngines(engines: readonly LayerEngine[]): void {
+function injectCrashes(engines: readonly LayerEngine[]): void {
   for (const { fault } of engines) {
-    fault.crashesOnBodies = [BAD_BODY];
+    fault.crashesOnBodies = [CRASHING_BODY];
     fault.restartsAfterMs = RESTART_MS;
   }
 }
@@ -44,8 +43,8 @@
     .reduce((sum, engine) => sum + engine.crashes.length, 0);
 }
 
-/** What a caller gets; undefined where its answer broke off. */
-async function ask(
+/** Sends a request; gives undefined if the answer broke off. */
+async function tryCall(
   address: string,
   options: { path: string; body: string; key?: string },
 ): Promise<CallAnswer | undefined> {
@@ -53,8 +52,8 @@
     .catch(() => undefined);
 }
 
-/** The caller comes again and again, at each gateway in turn. */
-async function askAgain(
+/** Repeats the crashing request at each gateway in turn; gives the last answer. */
+async function repeatCrashingCall(
   fleet: TestFleet,
   options: { path: string; times: number; gapMs: number },
 ): Promise<CallAnswer | undefined> {
@@ -62,56 +61,60 @@
   let last: CallAnswer | undefined;
   for (let at = 0; at < times; at++) {
     const { address } = fleet.gateways[at % fleet.gateways.length];
-    last = await ask(address, { path, body: BAD_BODY });
+    last = await tryCall(address, { path, body: CRASHING_BODY });
     await sleep(gapMs);
   }
   return last;
 }
 
 for (const path of ["/stream/1", "/safe/1", "/once/1"]) {
-  test(`a request at ${path} that ends engines is held back everywhere`, async () => {
+  test(`a request at ${path} that crashes engines is quarantined on all gateways`, async () => {
     await using fleet = await startServing();
-    armEngines([...fleet.engines, ...fleet.plain]);
-    const last = await askAgain(fleet, { path, times: 10, gapMs: 400 });
-    assert.ok(countCrashes(fleet) <= MOST_CRASHES, `${countCrashes(fleet)}`);
-    // The last try was never sent: it hasn't run, and may come after the hold.
+    injectCrashes([...fleet.engines, ...fleet.plain]);
+    const last = await repeatCrashingCall(fleet, {
+      path,
+      times: 10,
+      gapMs: 400,
+    });
+    assert.ok(countCrashes(fleet) <= MAX_CRASHES, `${countCrashes(fleet)}`);
+    // The last attempt was not sent: it may be retried after the quarantine.
     assert.is(last?.status, 503);
     assert.match(last?.text ?? "", /held_back/);
     assert.ok(Number(last?.headers["retry-after"]) > 1);
   });
 }
 
-/** Callers of other requests; what they get is counted. */
-function startOthers(
+/** Sends other requests until stopped, and counts those answered in full. */
+function startOtherCalls(
   fleet: TestFleet,
   options: { readonly path: string; readonly getBody: (at: number) => string },
-): { stop(): Promise<{ asked: number; whole: number }> } {
-  const state = { asked: 0, whole: 0, isOver: false };
-  async function askOnce(at: number): Promise<void> {
+): { stop(): Promise<{ asked: number; completed: number }> } {
+  const state = { asked: 0, completed: 0, isOver: false };
+  async function callOnce(at: number): Promise<void> {
     const { address } = fleet.gateways[at % fleet.gateways.length];
     const body = options.getBody(at);
-    const answer = await ask(address, { path: options.path, body });
-    if (answer?.text === expectStream()) state.whole += 1;
+    const answer = await tryCall(address, { path: options.path, body });
+    if (answer?.text === expectStream()) state.completed += 1;
   }
-  async function askOn(): Promise<void> {
+  async function callUntilOver(): Promise<void> {
     const running: Promise<void>[] = [];
     while (!state.isOver) {
-      running.push(askOnce(state.asked++));
+      running.push(callOnce(state.asked++));
       await sleep(25);
     }
     await Promise.all(running);
   }
-  const asking = askOn();
+  const calling = callUntilOver();
   return {
     async stop() {
       state.isOver = true;
-      await asking;
+      await calling;
       return state;
     },
   };
 }
 
-async function untilPlacedAgain(fleet: TestFleet): Promise<void> {
+async function untilLayersHeld(fleet: TestFleet): Promise<void> {
   await until(
     "all engines hold layers again",
     () => fleet.engines.every((engine) => engine.getRange()[1] > 0),
@@ -119,83 +122,92 @@
   await sleep(600);
 }
 
-test("streams beside it are not held back, nor is a body that many send", async () => {
+test("concurrent streams are not quarantined, nor is a body that many callers send", async () => {
   await using fleet = await startServing();
-  armEngines(fleet.engines);
-  const others = startOthers(fleet, {
+  injectCrashes(fleet.engines);
+  const otherCalls = startOtherCalls(fleet, {
     path: "/stream/1",
     getBody: (at) => at % 2 === 0 ? "asked by many" : `asked once: ${at}`,
   });
   await sleep(200);
-  await askAgain(fleet, { path: "/stream/1", times: 8, gapMs: 300 });
-  assert.ok(countCrashes(fleet) <= MOST_CRASHES, `${countCrashes(fleet)}`);
-  await others.stop();
-  await untilPlacedAgain(fleet);
-  const after = startOthers(fleet, {
+  await repeatCrashingCall(fleet, { path: "/stream/1", times: 8, gapMs: 300 });
+  assert.ok(countCrashes(fleet) <= MAX_CRASHES, `${countCrashes(fleet)}`);
+  await otherCalls.stop();
+  await untilLayersHeld(fleet);
+  const after = startOtherCalls(fleet, {
     path: "/stream/1",
     getBody: (at) => at % 2 === 0 ? "asked by many" : `asked once: ${at % 20}`,
   });
   await sleep(800);
-  const { asked, whole } = await after.stop();
-  assert.is(whole, asked);
+  const { asked, completed } = await after.stop();
+  assert.is(completed, asked);
 });
 
-test("operators see who is held back, and let it go free", async () => {
+test("operators list the quarantined requests and lift a quarantine", async () => {
   await using fleet = await startServing({ controls: 1, gateways: 1 });
-  armEngines(fleet.plain);
-  await askAgain(fleet, { path: "/safe/1", times: 5, gapMs: 300 });
+  injectCrashes(fleet.plain);
+  await repeatCrashingCall(fleet, { path: "/safe/1", times: 5, gapMs: 300 });
   const control = ["--control", fleet.controls[0].callerAddress];
   const crowlever = (...args: string[]) =>
     runProgram("crowlever", ["quarantine", ...args, ...control]);
   const listed = await crowlever("-o", "json");
   assert.is(listed.code, 0, listed.output);
   const [held] = JSON.parse(listed.output).cases;
-  assert.is(held.engineIds.length, MOST_CRASHES);
+  assert.is(held.engineIds.length, MAX_CRASHES);
   assert.ok(held.heldMs > 60_000);
   const lifted = await crowlever("--lift", held.requestKey);
   assert.is(lifted.code, 0, lifted.output);
   assert.equal(JSON.parse((await crowlever("-o", "json")).output).cases, []);
   const [{ address }] = fleet.gateways;
   for (const { fault } of fleet.plain) fault.crashesOnBodies = [];
-  const answer = await ask(address, { path: "/safe/1", body: BAD_BODY });
+  const answer = await tryCall(address, {
+    path: "/safe/1",
+    body: CRASHING_BODY,
+  });
   assert.is(answer?.status, 200);
 });
 
-test("a new leader and a gateway that starts anew know whom to hold back", async () => {
+test("a new leader and a new gateway keep the quarantine", async () => {
   await using fleet = await startServing();
-  armEngines(fleet.engines);
-  await askAgain(fleet, { path: "/stream/1", times: 6, gapMs: 300 });
+  injectCrashes(fleet.engines);
+  await repeatCrashingCall(fleet, { path: "/stream/1", times: 6, gapMs: 300 });
   const before = countCrashes(fleet);
-  assert.ok(before <= MOST_CRASHES, `${before}`);
+  assert.ok(before <= MAX_CRASHES, `${before}`);
   assert.ok(await stopLeader(fleet));
   const added = await fleet.addGateway();
-  await until("it serves", () => added.gateway.isReady());
-  const late = await ask(added.address, { path: "/stream/1", body: BAD_BODY });
-  assert.is(late?.status, 503);
-  assert.match(late?.text ?? "", /held_back/);
-  await askAgain(fleet, { path: "/stream/1", times: 4, gapMs: 300 });
+  await until("the new gateway is ready", () => added.gateway.isReady());
+  const lateAnswer = await tryCall(added.address, {
+    path: "/stream/1",
+    body: CRASHING_BODY,
+  });
+  assert.is(lateAnswer?.status, 503);
+  assert.match(lateAnswer?.text ?? "", /held_back/);
+  await repeatCrashingCall(fleet, { path: "/stream/1", times: 4, gapMs: 300 });
   assert.is(countCrashes(fleet), before);
 });
 
-test("many copies at once end no more than run at once before the news", async () => {
+test("concurrent copies crash only the engines that run them before the first report", async () => {
   await using fleet = await startServing();
-  armEngines(fleet.engines);
+  injectCrashes(fleet.engines);
   await Promise.all(
-    Array.from({ length: 12 }, (_, at) =>
-      ask(fleet.gateways[at % 2].address, {
-        path: "/stream/1",
-        body: BAD_BODY,
-      })),
+    Array.from(
+      { length: 12 },
+      (_, at) =>
+        tryCall(fleet.gateways[at % 2].address, {
+          path: "/stream/1",
+          body: CRASHING_BODY,
+        }),
+    ),
   );
-  await untilPlacedAgain(fleet);
-  await askAgain(fleet, { path: "/stream/1", times: 6, gapMs: 200 });
-  // Two engines begin streams; each may be hit once, and then the trial.
-  assert.ok(countCrashes(fleet) <= MOST_CRASHES + 1, `${countCrashes(fleet)}`);
+  await untilLayersHeld(fleet);
+  await repeatCrashingCall(fleet, { path: "/stream/1", times: 6, gapMs: 200 });
+  // Two engines start streams and each may crash once; the trial request adds one.
+  assert.ok(countCrashes(fleet) <= MAX_CRASHES + 1, `${countCrashes(fleet)}`);
 });
 
-test("upstreams that are lost for other reasons hold no request back", async () => {
+test("upstreams that crash for other reasons quarantine no request", async () => {
   await using fleet = await startServing();
-  const others = startOthers(fleet, {
+  const otherCalls = startOtherCalls(fleet, {
     path: "/stream/1",
     getBody: () => "asked by a caller that repeats itself",
   });
@@ -205,14 +217,14 @@
   await fleet.addEngine("p1");
   await fleet.addEngine("p1");
   await sleep(1_500);
-  await others.stop();
-  const after = startOthers(fleet, {
+  await otherCalls.stop();
+  const after = startOtherCalls(fleet, {
     path: "/stream/1",
     getBody: () => "asked by a caller that repeats itself",
   });
   await sleep(500);
-  const { asked, whole } = await after.stop();
-  assert.is(whole, asked);
+  const { asked, completed } = await after.stop();
+  assert.is(completed, asked);
 });
 
 test.run();
--- a/test/ended_engine_runs_test.ts
+++ b/test/ended_engine_runs_test.ts
@@ -1,5 +1,5 @@
 /**
- * Streams whose engines end under them.
+ * Streams whose engines crash while they run them.
  */
 
 import { test } from "uvu";
@@ -13,14 +13,14 @@
   startServing,
 } from "./support/fleet.ts";
 
-/** Events of an answer. */
-const EVENTS = 200;
+/** Number of events of an answer. */
+const EVENT_COUNT = 200;
 
-/** Events after which the second engine cuts the stream off. */
-const CUT_AFTER = 40;
+/** Number of events after which the second engine resets the stream. */
+const RESET_AFTER_EVENTS = 40;
 
-/** Streams before it, whose share pays for its repeats. */
-const EARLIER = 30;
+/** Number of earlier streams, which fund the retry budget. */
+const EARLIER_STREAMS = 30;
 
 const ID_PREFIX = "broken";
 
@@ -28,32 +28,35 @@
   return runs.some(({ requestId }) => requestId.startsWith(ID_PREFIX));
 }
 
-test("an engine that ended under a stream doesn't keep it from a third one", async () => {
-  const size = { controls: 1, gateways: 1, events: EVENTS };
+test("a crashed engine doesn't count against the attempts of a stream, so a third one runs it", async () => {
+  const size = { controls: 1, gateways: 1, events: EVENT_COUNT };
   await using fleet = await startServing(size);
   await addCopies(fleet);
   const { engines } = fleet;
   const [{ address }] = fleet.gateways;
   const earlier = Array.from(
-    { length: EARLIER },
+    { length: EARLIER_STREAMS },
     () => call(address, { path: "/stream/0" }),
   );
   await Promise.all(earlier);
   for (const { fault } of engines) fault.hangs = true;
   const answer = call(address, { path: "/stream/1", idPrefix: ID_PREFIX });
-  await until("one runs it", () => engines.some(isRunning));
+  await until("one engine runs the stream", () => engines.some(isRunning));
   const first = engines.find(isRunning) as LayerEngine;
   for (const { fault } of engines) {
     fault.hangs = false;
-    fault.resetAfterEvents = CUT_AFTER;
+    fault.resetAfterEvents = RESET_AFTER_EVENTS;
   }
   await first.crash();
-  await until("two ran it", () => engines.filter(isRunning).length === 2);
+  await until(
+    "two engines have run the stream",
+    () => engines.filter(isRunning).length === 2,
+  );
   for (const engine of engines) {
     if (!isRunning(engine)) engine.fault.resetAfterEvents = undefined;
   }
   const { text } = await answer;
-  assert.is(text, expectStream(EVENTS));
+  assert.is(text, expectStream(EVENT_COUNT));
   assert.is(engines.filter(isRunning).length, 3);
 });
 
--- a/test/entry_search_test.ts
+++ b/test/entry_search_test.ts
@@ -1,5 +1,5 @@
 /**
- * An entry that looks for the leader among control processes that send it away.
+ * An entry that looks for the leader among control processes that redirect it.
  */
 
 import { Server } from "@grpc/grpc-js";
@@ -13,17 +13,17 @@
 import type { EntrySettings } from "../src/settings/index.ts";
 import { bindGrpc, wire } from "../src/wire/index.ts";
 
-/** Ms for which the entry is sent away again and again. */
-const SENT_AWAY_MS = 3_000;
+/** Time for which the entry is redirected. */
+const REDIRECT_MS = 3_000;
 
-/** Longest wait, in ms, before an entry asks again. */
-const MAX_RETRY_MS = 400;
+/** Longest back-off of an entry between two attempts. */
+const MAX_BACK_OFF_MS = 400;
 
-/** Tries until the wait is the longest one. */
-const SHORTER_WAITS = 3;
+/** Number of attempts before the back-off reaches its maximum. */
+const SHORTER_BACK_OFFS = 3;
 
-/** Redirects that are followed without a wait. */
-const QUICK_REDIRECTS = 3;
+/** Number of redirects that are followed without a back-off. */
+const IMMEDIATE_REDIRECTS = 3;
 
 async function startControl(getLeaderAddress: (own: string) => string) {
   const [port] = await findFreePorts(1);
@@ -80,23 +80,23 @@
     random: () => 1,
   });
   agent.start("127.0.0.1:1");
-  await sleep(SENT_AWAY_MS);
+  await sleep(REDIRECT_MS);
   return control.countHellos();
 }
 
-const MAX_HELLOS = SHORTER_WAITS + SENT_AWAY_MS / MAX_RETRY_MS;
+const MAX_HELLOS = SHORTER_BACK_OFFS + REDIRECT_MS / MAX_BACK_OFF_MS;
 
-// Entries without a leader asked each 100 ms for as long as there was none.
-test("an entry that is sent away asks less and less often", async () => {
+// Guards against entries that retry every 100 ms for as long as there is no leader.
+test("an entry that is redirected without an address backs off between attempts", async () => {
   const hellos = await countHellos(() => "");
   assert.ok(hellos > 1 && hellos <= MAX_HELLOS, `${hellos}`);
 });
 
-// Control processes that named each other were asked without a pause.
-test("an entry doesn't follow redirects without end", async () => {
+// Guards against redirects in a circle that are followed without a pause.
+test("an entry backs off when redirects form a circle", async () => {
   const hellos = await countHellos((own) => own);
   assert.ok(
-    hellos > 1 && hellos <= QUICK_REDIRECTS + MAX_HELLOS,
+    hellos > 1 && hellos <= IMMEDIATE_REDIRECTS + MAX_HELLOS,
     `${hellos}`,
   );
 });
--- a/test/failover_test.ts
+++ b/test/failover_test.ts
@@ -9,30 +9,30 @@
   stopLeader,
 } from "../measure/failover_scenarios.ts";
 
-// Twice: a stream to a replica that was started again was first kept for dead,
-// so that the second leader's death left no quorum.
+// Kills two leaders: guards against a stream to a restarted replica that is still taken
+// for dead, so that the second failure leaves no quorum.
 test("no accepted change is lost when leaders are killed in turn", async () => {
   await using fleet = await launchFleet({ entries: 2, entryDisks: true });
   assert.ok((await killLeader(fleet, { changes: 150 })).accepted >= 150);
   assert.ok((await killLeader(fleet, { changes: 150 })).accepted >= 150);
 });
 
-test("a frozen leader that wakes reverts nothing", async () => {
+test("a frozen leader that resumes reverts nothing", async () => {
   await using fleet = await launchFleet({ entries: 2 });
   assert.ok((await freezeLeader(fleet, { frozenMs: 3_000 })).accepted >= 60);
 });
 
-test("a planned stop hands leadership over and ends with 0", async () => {
+test("a planned stop transfers leadership and exits with 0", async () => {
   await using fleet = await launchFleet({ entries: 1 });
   assert.ok((await stopLeader(fleet)).accepted >= 60);
 });
 
-test("all control processes killed at once come back to the accepted state", async () => {
+test("control processes that are all killed at once restart with the accepted state", async () => {
   await using fleet = await launchFleet({ entries: 1 });
   assert.ok((await killAll(fleet)).accepted >= 60);
 });
 
-test("a second disk is lost right after the first one's repair", async () => {
+test("no accepted change is lost when a second disk fails right after the repair of the first", async () => {
   await using fleet = await launchFleet({ entries: 1 });
   assert.ok((await loseDisksInTurn(fleet)).accepted >= 60);
 });
--- a/test/fleet_test.ts
+++ b/test/fleet_test.ts
@@ -1,5 +1,6 @@
 /**
- * The whole path on the stand-in of the users' platform, and its failures.
+ * Requests through the gateways to stand-ins of the platform's engines, and their
+ * failures.
  */
 
 import { setTimeout as sleep } from "node:timers/promises";
@@ -18,7 +19,7 @@
   type TestFleet,
 } from "./support/fleet.ts";
 
-test("streams and plain calls are served whole", async () => {
+test("streams and plain calls are served in full", async () => {
   await using fleet = await startServing();
   const [{ address }] = fleet.gateways;
   const stream = await call(address, { path: "/stream/1" });
@@ -32,7 +33,7 @@
   assert.is(runs[0].body, "hello");
 });
 
-test("unknown routes and keys are refused as such", async () => {
+test("unknown routes are answered with 404 and unknown keys with 401", async () => {
   await using fleet = await startServing({ controls: 1, gateways: 1 });
   const [{ address }] = fleet.gateways;
   assert.is((await call(address, { path: "/none/1" })).status, 404);
@@ -40,10 +41,10 @@
   assert.is(unknown.status, 401);
 });
 
-test("a stream that breaks off goes on elsewhere, each event once", async () => {
+test("a stream that breaks off resumes on another engine with each event sent once", async () => {
   await using fleet = await startServing();
   const [{ address }] = fleet.gateways;
-  // The route allows two engines, so only the gateway's own place is faulty.
+  // The route allows two attempts, so only the engines of the gateway's place fail.
   for (const engine of fleet.engines.slice(0, 2)) {
     engine.fault.resetAfterEvents = 5;
     engine.fault.cutsEvent = true;
@@ -57,7 +58,7 @@
   assert.ok(resumedAfter.includes(5));
 });
 
-/** Engines of the first data centre in the order of their layers. */
+/** Gives the engines of the first place in the order of their layers. */
 function getFirstPath(fleet: TestFleet): [LayerEngine, LayerEngine] {
   const [one, two] = fleet.engines;
   return one.getRange()[0] === 0 ? [one, two] : [two, one];
@@ -75,37 +76,40 @@
   await sleep(600);
   for (const engine of fleet.engines) engine.fault.resetAfterEvents = 2;
   await call(address, { path: "/stream/1" }).then(
-    () => assert.unreachable("it can't be whole after two resets"),
+    () => assert.unreachable("the stream can't be complete after two resets"),
     () => {},
   );
   const runs = fleet.engines.flatMap((engine) => engine.runs);
   assert.is(runs.length, 2);
 });
 
-/** Adds an engine that holds the same layers as another one. */
-async function addHolder(
+/** Adds an engine and loads the layers that another engine holds. */
+async function addSpareEngine(
   fleet: TestFleet,
   other: LayerEngine,
 ): Promise<LayerEngine> {
   const spare = await fleet.addEngine("p1");
-  // The leader's own order for it comes first.
-  await until("the spare one holds layers", () => spare.getRange()[1] > 0);
-  await until("the spare one is asked to hold the same layers", async () => {
-    const [fromLayer, toLayer] = other.getRange();
-    const record = { engineId: spare.engineId, address: spare.address };
-    const answer = await sendLayerOrder(record as EngineRecord, {
-      fromLayer,
-      toLayer,
-    });
-    return answer === "begun";
-  });
+  // Waits for the leader's own layer order to the new engine.
+  await until("the spare engine holds layers", () => spare.getRange()[1] > 0);
+  await until(
+    "the spare engine accepts the order to load the same layers",
+    async () => {
+      const [fromLayer, toLayer] = other.getRange();
+      const record = { engineId: spare.engineId, address: spare.address };
+      const answer = await sendLayerOrder(record as EngineRecord, {
+        fromLayer,
+        toLayer,
+      });
+      return answer === "begun";
+    },
+  );
   await sleep(600);
   return spare;
 }
 
-/** Disturbs an engine that a stream runs over; it has to go on over its twin. */
-async function expectMove(
-  disturb: (
+/** Disturbs an engine on a stream's path; the path has to move to the spare engine. */
+async function expectPathMove(
+  injectFault: (
     path: { readonly first: LayerEngine; readonly used: LayerEngine },
   ) => Promise<void> | void,
 ): Promise<void> {
@@ -113,28 +117,28 @@
   await using fleet = await startServing({ controls: 1, gateways: 1, events });
   const [{ address }] = fleet.gateways;
   const [first, second] = getFirstPath(fleet);
-  const spare = await addHolder(fleet, second);
+  const spare = await addSpareEngine(fleet, second);
   const answer = call(address, { path: "/stream/1" });
-  await until("it runs", () => first.getPaths().length === 1);
-  const goesOver = (engine: LayerEngine) =>
+  await until("the stream runs", () => first.getPaths().length === 1);
+  const pathUses = (engine: LayerEngine) =>
     first.getPaths().some((path) => path.includes(engine.address));
-  const [used, other] = goesOver(second) ? [second, spare] : [spare, second];
-  await disturb({ first, used });
-  await until("it moved", () => goesOver(other) && !goesOver(used));
+  const [used, other] = pathUses(second) ? [second, spare] : [spare, second];
+  await injectFault({ first, used });
+  await until("the path has moved", () => pathUses(other) && !pathUses(used));
   assert.is((await answer).text, expectStream(events));
   const runs = fleet.engines.flatMap((engine) => engine.runs);
-  assert.is(runs.length, 1, "it went on where it ran");
+  assert.is(runs.length, 1, "the stream continued on the engine that ran it");
 }
 
-test("a stream that stands still goes on over another holder near by", () =>
-  expectMove(({ first, used }) => {
+test("a stalled stream continues over another engine of the place with the same layers", () =>
+  expectPathMove(({ first, used }) => {
     first.fault.stalledFor = used.address;
   }));
 
-test("a running stream moves off an engine that leaves", () =>
-  expectMove(({ used }) => used.drain()));
+test("a running stream moves away from an engine that drains", () =>
+  expectPathMove(({ used }) => used.drain()));
 
-test("a stream that stands still without one goes on in another place", async () => {
+test("a stalled stream continues in another place if no other engine of its own has the layers", async () => {
   await using fleet = await startServing({ controls: 1, gateways: 1 });
   const [{ address }] = fleet.gateways;
   const [first, second] = getFirstPath(fleet);
@@ -145,14 +149,14 @@
   assert.is(others.flatMap((engine) => engine.runs).length, 1);
 });
 
-test("a stream leaves an engine that is gone, before any report names it", async () => {
+test("a stream moves away from a crashed engine before any report names that engine", async () => {
   await using fleet = await startServing({ controls: 1, gateways: 1 });
   const [{ address }] = fleet.gateways;
   const [first, second] = getFirstPath(fleet);
   first.fault.stalledFor = second.address;
   first.fault.hidesStalled = true;
   const answer = call(address, { path: "/stream/1" });
-  await until("it runs", () => first.runs.length === 1);
+  await until("the stream runs", () => first.runs.length === 1);
   await second.crash();
   const { text } = await answer;
   assert.is(text, expectStream());
@@ -160,7 +164,7 @@
   assert.is(others.flatMap((engine) => engine.runs).length, 1);
 });
 
-test("what must not be repeated runs once, whatever happens to its answer", async () => {
+test("a request that is not repeatable runs once if its answer is lost", async () => {
   await using fleet = await startServing({ controls: 1, gateways: 1 });
   const [{ address }] = fleet.gateways;
   for (const engine of fleet.plain) engine.fault.losesAnswers = true;
@@ -170,7 +174,7 @@
   assert.is(count(), 1);
 });
 
-test("what may be repeated runs again where its answer was lost", async () => {
+test("a repeatable request is retried if its answer is lost", async () => {
   await using fleet = await startServing({ controls: 1, gateways: 1 });
   const [{ address }] = fleet.gateways;
   for (const engine of fleet.plain) engine.fault.losesAnswers = true;
@@ -178,7 +182,7 @@
   assert.is(fleet.plain.flatMap((engine) => engine.runs).length, 2);
 });
 
-test("a request that was sent is never refused as not run at its deadline", async () => {
+test("a request that was sent is never reported as not run at its deadline", async () => {
   await using fleet = await startServing({ controls: 1, gateways: 1 });
   const [{ address }] = fleet.gateways;
   const all = [...fleet.plain, ...fleet.engines];
@@ -189,7 +193,7 @@
   }
 });
 
-test("an answer to another request is never passed on", async () => {
+test("an answer to another request is never forwarded", async () => {
   await using fleet = await startServing({ controls: 1, gateways: 1 });
   const [{ address }] = fleet.gateways;
   for (const engine of fleet.plain) engine.fault.mixesIds = true;
@@ -198,7 +202,7 @@
   assert.is(answer.headers["x-server-seal"], undefined);
 });
 
-test("a refusal says that it has not run and when to come back", async () => {
+test("a rejection is marked as not run and has a retry-after header", async () => {
   await using fleet = await startServing({ controls: 1, gateways: 1 });
   const [{ address }] = fleet.gateways;
   for (const engine of fleet.plain) engine.fault.isFull = true;
@@ -208,17 +212,17 @@
   assert.is(fleet.plain.flatMap((engine) => engine.runs).length, 0);
 });
 
-test("work is cancelled when its caller leaves", async () => {
+test("a run is cancelled when its caller disconnects", async () => {
   await using fleet = await startServing({ controls: 1, gateways: 1 });
   const [{ address }] = fleet.gateways;
   const leaving = AbortSignal.timeout(40);
   const left = call(address, { path: "/stream/1", signal: leaving });
   await left.then(() => assert.unreachable(), () => {});
   const runs = () => fleet.engines.flatMap((engine) => engine.runs);
-  await until("the engine's run was cut", () => runs()[0]?.wasCut);
+  await until("the engine's run was cancelled", () => runs()[0]?.wasCut);
 });
 
-test("an engine that drains gets no new work once it is acknowledged", async () => {
+test("an engine gets no new requests once its drain is acknowledged", async () => {
   await using fleet = await startServing();
   const [{ address }] = fleet.gateways;
   const [leaving] = fleet.plain;
@@ -229,7 +233,7 @@
   assert.is(leaving.runs.length, before);
 });
 
-test("the highest version holds everywhere, resent and older ones are taken", async () => {
+test("the highest version is in force on all processes; repeated and older ones are accepted", async () => {
   await using fleet = await startServing();
   assert.is(await fleet.put(makeWireConfig(7), 1), 200);
   assert.is(await fleet.put(makeWireConfig(7), 2), 200);
@@ -245,7 +249,7 @@
   assert.is(await fleet.put(invalid), 400);
 });
 
-test("a key that is taken away is refused, a new one is served", async () => {
+test("a removed key is rejected and a new one is served", async () => {
   await using fleet = await startServing({ controls: 1, gateways: 1 });
   const [{ address }] = fleet.gateways;
   await fleet.put(makeWireConfig(2, { keys: ["key-2"] }));
@@ -255,7 +259,7 @@
   assert.is(served.status, 200);
 });
 
-test("the loss of the leader is not felt, and nothing accepted is lost", async () => {
+test("requests are served without the leader, and no accepted change is lost", async () => {
   await using fleet = await startServing();
   const [{ address }] = fleet.gateways;
   const at = fleet.controls.findIndex(({ control }) =>
@@ -266,7 +270,7 @@
   assert.is((await call(address, { path: "/stream/1" })).status, 200);
   const other = at === 0 ? 1 : 0;
   await until(
-    "another leader takes changes",
+    "another leader accepts changes",
     async () => await fleet.put(makeWireConfig(3), other) === 200,
   );
   await fleet.settle(3);
@@ -274,19 +278,19 @@
   assert.is((await call(address, { path: "/stream/1" })).text, expectStream());
 });
 
-test("a lost range is held again by an empty engine", async () => {
+test("an empty engine loads the layers of a crashed one", async () => {
   await using fleet = await startServing();
   const [lost] = fleet.engines.splice(0, 1);
   const range = lost.getRange();
   await lost.crash();
   const empty = await fleet.addEngine("p1");
   await until(
-    "the range is held again",
+    "the empty engine holds the layers",
     () => empty.getRange()[0] === range[0] && empty.getRange()[1] === range[1],
   );
 });
 
-test("a stopping gateway sends streams elsewhere that it would cut", async () => {
+test("a stopping gateway rejects streams that would outlast its grace period", async () => {
   const options = { controls: 1, gateways: 1, events: 200, graceMs: 1_200 };
   await using fleet = await startServing(options);
   const [{ address, gateway }] = fleet.gateways;
@@ -302,7 +306,7 @@
   await stopped;
 });
 
-test("a planned stop finishes what runs and what comes meanwhile", async () => {
+test("a planned stop completes running requests and those that arrive during it", async () => {
   await using fleet = await startServing({
     controls: 1,
     gateways: 1,
@@ -315,7 +319,7 @@
     () => call(address, { path: "/stream/1" }),
   );
   await until(
-    "all have begun",
+    "all streams have started",
     () => fleet.engines.flatMap((engine) => engine.runs).length === 5,
   );
   const stopped = gateway.stop();
@@ -329,14 +333,14 @@
   await stopped;
 });
 
-test("callers are told the gateways of their data centre", async () => {
+test("callers get the gateway addresses of their place", async () => {
   await using fleet = await startServing();
   await until(
     "both gateways are known",
     () => fleet.gateways[0].gateway.listAddresses("p1").length === 2,
   );
-  const told = fleet.gateways[0].gateway.listAddresses("elsewhere");
-  assert.equal([...told].sort(), fleet.gateways.map((one) => one.address));
+  const addresses = fleet.gateways[0].gateway.listAddresses("elsewhere");
+  assert.equal([...addresses].sort(), fleet.gateways.map((one) => one.address));
 });
 
 test.run();
--- a/test/invalid_config_test.ts
+++ b/test/invalid_config_test.ts
@@ -1,5 +1,5 @@
 /**
- * Invalid configurations are refused with the field that is wrong, and change
+ * Invalid configurations are rejected with the name of the invalid field, and change
  * nothing.
  */
 
@@ -14,8 +14,8 @@
   readonly service?: string;
 }
 
-/** A configuration of which the first route is taken twice, changed. */
-function makeWithRoute(version: number, fields: object): object {
+/** Makes a configuration with a changed copy of its first route. */
+function makeConfigWithRoute(version: number, fields: object): object {
   const config = makeWireConfig(version) as { routes: WireRoute[] };
   const [route] = config.routes;
   return {
@@ -24,32 +24,35 @@
   };
 }
 
-const OTHER_PLACE = { pathPrefix: "/other/" };
+const OTHER_PREFIX = { pathPrefix: "/other/" };
 
-const INVALID: Readonly<Record<string, object>> = {
-  "two routes whose hosts differ by case": makeWithRoute(5, {
+const INVALID_CONFIGS: Readonly<Record<string, object>> = {
+  "two routes whose hosts differ by case": makeConfigWithRoute(5, {
     host: "A.EXAMPLE",
   }),
-  "two routes whose hosts differ by the port": makeWithRoute(5, {
+  "two routes whose hosts differ by the port": makeConfigWithRoute(5, {
     host: "a.example:80",
   }),
-  "an unknown service beside a split": makeWithRoute(5, {
-    ...OTHER_PLACE,
+  "an unknown service beside a split": makeConfigWithRoute(5, {
+    ...OTHER_PREFIX,
     service: "unknown",
     trafficSplit: [{ service: "plain", weight: 1 }],
   }),
-  "a version that is no whole number": makeWithRoute(5.5, OTHER_PLACE),
-  "keys that are no list": {
+  "a version that is not an integer": makeConfigWithRoute(5.5, OTHER_PREFIX),
+  "keys that are not an array": {
     ...makeWireConfig(5),
     tenants: [{ name: "one", apiKeys: "key-1" }],
   },
 };
 
-for (const [what, config] of Object.entries(INVALID)) {
-  test(`an invalid configuration is refused and not in force: ${what}`, async () => {
+for (const [name, config] of Object.entries(INVALID_CONFIGS)) {
+  test(`an invalid configuration is rejected and does not take effect: ${name}`, async () => {
     await using fleet = await startTestFleet({ controls: 1, gateways: 1 });
     const valid = makeWireConfig(3);
-    await until("it is taken", async () => await fleet.put(valid) === 200);
+    await until(
+      "the valid configuration is accepted",
+      async () => await fleet.put(valid) === 200,
+    );
     await fleet.settle(3);
     assert.is(await fleet.put(config), 400);
     const { text } = await fleet.readConfig();
--- a/test/leader_change_test.ts
+++ b/test/leader_change_test.ts
@@ -1,5 +1,5 @@
 /**
- * What gateways are told by a new leader to which many of them come late.
+ * What a new leader sends to gateways while many of them have not reconnected yet.
  */
 
 import { test } from "uvu";
@@ -12,36 +12,40 @@
 
 const GATEWAYS = 20;
 
-/** Ms after which the late ones look for the new leader. */
-const LATE_MS = 3_000;
+/** Time after which the late gateways look for the new leader. */
+const RECONNECT_DELAY_MS = 3_000;
 
 const VMS = Array.from({ length: GATEWAYS }, (_, at) => `g${at}`);
 
-function isToldAll({ toldGateways, toldRequests }: TestSession): boolean {
+function knowsAll({ toldGateways, toldRequests }: TestSession): boolean {
   return toldGateways.at(-1)?.length === GATEWAYS &&
     toldRequests.at(-1) === GATEWAYS;
 }
 
-// Callers would be sent to a part of the VMs, and engines would look emptier than
-// they are.
-test("a new leader tells no part of the gateways and their work as the whole", async () => {
+// Guards against a new leader that sends totals before all gateways have reconnected:
+// callers would be directed to a part of the VMs, and engines would appear less loaded
+// than they are.
+test("a new leader sends no incomplete list of gateways and no incomplete load totals", async () => {
   await using fleet = await startSessionFleet();
   const gateways = VMS.map((vm, at) =>
-    fleet.open(vm, { returnMs: at % 2 === 0 ? 0 : LATE_MS })
+    fleet.open(vm, { returnMs: at % 2 === 0 ? 0 : RECONNECT_DELAY_MS })
+  );
+  await until(
+    "all gateways know all gateways and their requests",
+    () => gateways.every(knowsAll),
   );
-  await until("all are told of all", () => gateways.every(isToldAll));
   for (const { toldGateways, toldRequests } of gateways) {
     toldGateways.length = 0;
     toldRequests.length = 0;
   }
   await fleet.stopLeader();
   await until(
-    "some are back",
+    "some gateways have reconnected",
     () => gateways.filter(({ welcomes }) => welcomes > 1).length > 0,
   );
   const started = fleet.open("started");
   await until(
-    "all are back and told of all",
+    "all gateways have reconnected and know all requests",
     () =>
       gateways.every(({ welcomes }) => welcomes > 1) &&
       gateways.every(({ toldRequests }) =>
@@ -61,16 +65,22 @@
   assert.is(Math.min(...leastRequests), GATEWAYS + 1);
 });
 
-test("a gateway that stays away is no longer told after a leader's change", async () => {
+test("a gateway that does not reconnect is removed after a leader change", async () => {
   await using fleet = await startSessionFleet();
   const gateways = VMS.map((vm) => fleet.open(vm));
-  await until("all are told of all", () => gateways.every(isToldAll));
-  const [gone, ...others] = gateways;
+  await until(
+    "all gateways know all gateways and their requests",
+    () => gateways.every(knowsAll),
+  );
+  const [departed, ...others] = gateways;
   await fleet.stopLeader();
-  await gone.link[Symbol.asyncDispose]();
-  const isWithout = ({ toldGateways }: TestSession) =>
-    toldGateways.at(-1)?.includes(gone.vm) === false;
-  await until("the others are told", () => others.every(isWithout));
+  await departed.link[Symbol.asyncDispose]();
+  const hasRemoved = ({ toldGateways }: TestSession) =>
+    toldGateways.at(-1)?.includes(departed.vm) === false;
+  await until(
+    "the other gateways have removed it",
+    () => others.every(hasRemoved),
+  );
   assert.ok(others.every((one) => one.toldGateways.at(-1)?.length === 19));
 });
 
--- a/test/leader_search_test.ts
+++ b/test/leader_search_test.ts
@@ -1,6 +1,6 @@
 /**
  * A gateway that looks for the leader among control processes that are slow or
- * silent.
+ * unresponsive.
  */
 
 import { setTimeout as sleep } from "node:timers/promises";
@@ -15,90 +15,100 @@
   WELCOME,
 } from "./support/start_session_server.ts";
 
-/** Control processes that say nothing. */
-const SILENT = 5;
+/** Number of control processes that send nothing. */
+const UNRESPONSIVE_COUNT = 5;
 
-/** Ms for which a loaded leader lets gateways wait in the last test. */
+/** Time that a loaded leader takes to welcome a gateway. */
 const SLOW_WELCOME_MS = 1_500;
 
-/** Ms for an answer of a leader that gets hardly any processor time. */
+/** Time that a leader with hardly any CPU time takes to welcome a gateway. */
 const STARVED_WELCOME_MS = 4_000;
 
-/** Ms for which a gateway is sent away again and again. */
-const SENT_AWAY_MS = 3_000;
+/** Time for which a gateway is redirected. */
+const REDIRECT_MS = 3_000;
 
-/** Longest wait, in ms, before a gateway asks the second time. */
-const FIRST_RETRY_MS = 100;
+/** Longest back-off before the second attempt. */
+const FIRST_BACK_OFF_MS = 100;
 
-test("a control process that says nothing doesn't keep a gateway from asking the next", async () => {
-  await using silent = await startSessionServer(() => {});
-  let openWhenAsked = -1;
+test("an unresponsive control process doesn't keep a gateway from trying the next one", async () => {
+  await using unresponsive = await startSessionServer(() => {});
+  let openAtHello = -1;
   await using leader = await startSessionServer((message) => {
-    if (message.type === "hello") openWhenAsked = silent.getOpen();
+    if (message.type === "hello") openAtHello = unresponsive.getOpen();
   });
   await using _started = await startOneGateway([
-    silent.address,
+    unresponsive.address,
     leader.address,
   ]);
-  await until("the leader is asked", () => leader.hellos.length > 0);
-  assert.is(openWhenAsked, 1);
+  await until(
+    "the leader has received a hello",
+    () => leader.hellos.length > 0,
+  );
+  assert.is(openAtHello, 1);
 });
 
-test("a gateway asks the next control process however many say nothing", async () => {
-  const silent: SessionServer[] = [];
-  for (let at = 0; at < SILENT; at++) {
-    silent.push(await startSessionServer(() => {}));
+test("a gateway tries the next control process however many are unresponsive", async () => {
+  const unresponsive: SessionServer[] = [];
+  for (let at = 0; at < UNRESPONSIVE_COUNT; at++) {
+    unresponsive.push(await startSessionServer(() => {}));
   }
   const countOpen = () =>
-    silent.reduce((sum, server) => sum + server.getOpen(), 0);
-  let openWhenAsked = -1;
+    unresponsive.reduce((sum, server) => sum + server.getOpen(), 0);
+  let openAtHello = -1;
   await using leader = await startSessionServer((message) => {
-    if (message.type === "hello") openWhenAsked = countOpen();
+    if (message.type === "hello") openAtHello = countOpen();
   });
-  const addresses = [...silent, leader].map(({ address }) => address);
+  const addresses = [...unresponsive, leader].map(({ address }) => address);
   {
     await using _started = await startOneGateway(addresses);
-    await until("the leader is asked", () => leader.hellos.length > 0);
+    await until(
+      "the leader has received a hello",
+      () => leader.hellos.length > 0,
+    );
   }
-  await Promise.all(silent.map((server) => server[Symbol.asyncDispose]()));
-  assert.is(openWhenAsked, SILENT);
+  await Promise.all(
+    unresponsive.map((server) => server[Symbol.asyncDispose]()),
+  );
+  assert.is(openAtHello, UNRESPONSIVE_COUNT);
 });
 
-test("a leader that takes long to welcome a gateway is asked once", async () => {
+test("a leader that is slow to welcome a gateway receives one hello", async () => {
   let welcomed = 0;
-  await using leader = await startSessionServer((message, tell) => {
+  await using leader = await startSessionServer((message, send) => {
     if (message.type === "beat") welcomed += 1;
     if (message.type !== "hello") return;
-    void sleep(SLOW_WELCOME_MS).then(() => tell(WELCOME));
+    void sleep(SLOW_WELCOME_MS).then(() => send(WELCOME));
   });
   await using _started = await startOneGateway([leader.address]);
-  await until("it has a session", () => welcomed > 0);
+  await until("the gateway has a session", () => welcomed > 0);
   assert.is(leader.hellos.length, 1);
 });
 
-// Each try was given up before its answer came, and the next one waited as long.
-test("a leader that takes longer to answer than a gateway waits is reached", async () => {
+// Guards against a fixed timeout: each attempt was given up before its answer came,
+// and the next one waited no longer.
+test("a gateway reaches a leader whose answer takes longer than the first timeout", async () => {
   let welcomed = 0;
-  await using leader = await startSessionServer((message, tell) => {
+  await using leader = await startSessionServer((message, send) => {
     if (message.type === "beat") welcomed += 1;
     if (message.type !== "hello") return;
-    void sleep(STARVED_WELCOME_MS).then(() => tell(WELCOME));
+    void sleep(STARVED_WELCOME_MS).then(() => send(WELCOME));
   });
   await using _started = await startOneGateway([leader.address]);
-  await until("it has a session", () => welcomed > 0);
+  await until("the gateway has a session", () => welcomed > 0);
   assert.ok(leader.hellos.length <= 2);
 });
 
-// Gateways without a leader kept control processes too busy to elect one.
-test("a gateway that is sent away asks less and less often", async () => {
-  await using follower = await startSessionServer((message, tell) => {
-    if (message.type === "hello") tell({ type: "redirect", address: "" });
+// Guards against gateways without a leader that keep control processes too busy to
+// elect one.
+test("a gateway that is redirected without an address backs off between attempts", async () => {
+  await using follower = await startSessionServer((message, send) => {
+    if (message.type === "hello") send({ type: "redirect", address: "" });
   });
   await using _link = openLink({
     getSeedAddresses: () => [follower.address],
   });
-  await sleep(SENT_AWAY_MS);
-  const doublings = Math.log2(SENT_AWAY_MS / FIRST_RETRY_MS);
+  await sleep(REDIRECT_MS);
+  const doublings = Math.log2(REDIRECT_MS / FIRST_BACK_OFF_MS);
   assert.ok(follower.hellos.length > 1);
   assert.ok(
     follower.hellos.length <= doublings + 2,
--- a/test/leaving_engine_test.ts
+++ b/test/leaving_engine_test.ts
@@ -1,7 +1,7 @@
 /**
- * An engine that leaves says so in each of its answers, before its heartbeats do or
- * instead of them. Gateways that passed such answers on went on sending to it: they
- * knew of a leave only what the leader told.
+ * Guards against gateways that keep sending to an engine that leaves. An engine marks
+ * each of its answers as leaving, before its heartbeats do or instead of them, while
+ * gateways learnt of leaving engines only from the leader.
  */
 
 import { setTimeout as sleep } from "node:timers/promises";
@@ -17,15 +17,15 @@
 } from "./support/fleet.ts";
 import { listRequests } from "./support/soak_callers.ts";
 
-/** Ms within which all gateways have to know: the bound on news on the platform. */
-const NEWS_MS = 3_000;
+/** Time within which an update has to reach all gateways, as the platform requires. */
+const PROPAGATION_MS = 3_000;
 
 function countRequests(engine: LayerEngine): number {
   return listRequests(engine).length;
 }
 
-/** Asks until one of the engines has been used, and gives it. */
-async function findUsed(
+/** Sends a request and gives the engine that received it. */
+async function findUsedEngine(
   fleet: TestFleet,
   options: { readonly path: string; readonly engines: readonly LayerEngine[] },
 ): Promise<LayerEngine> {
@@ -33,11 +33,11 @@
   const { path, engines } = options;
   await call(address, { path });
   const used = engines.find((one) => countRequests(one) > 0);
-  if (!used) throw new Error("No engine was asked");
+  if (!used) throw new Error("No engine received the request");
   return used;
 }
 
-async function askTimes(
+async function sendCalls(
   address: string,
   options: { readonly path: string; readonly times: number },
 ): Promise<void> {
@@ -48,48 +48,48 @@
 }
 
 for (const path of ["/stream/1", "/safe/1"]) {
-  test(`an engine that says in an answer that it leaves gets nothing more at ${path}`, async () => {
+  test(`an engine that marks an answer as leaving gets no more requests at ${path}`, async () => {
     await using fleet = await startServing({ gateways: 2 });
     const engines = path === "/safe/1" ? fleet.plain : fleet.engines;
     const [near, other] = fleet.gateways;
-    const engine = await findUsed(fleet, { path, engines });
+    const engine = await findUsedEngine(fleet, { path, engines });
     engine.fault.saysLeaving = true;
     const before = countRequests(engine);
-    await until("it said so", async () => {
+    await until("the engine has answered as leaving", async () => {
       await call(near.address, { path });
       return countRequests(engine) > before;
     });
-    const told = countRequests(engine);
-    await askTimes(near.address, { path, times: 30 });
-    assert.is(countRequests(engine), told);
-    // From now on it says nothing: the other gateway has to hear of it elsewhere.
+    const requestsBefore = countRequests(engine);
+    await sendCalls(near.address, { path, times: 30 });
+    assert.is(countRequests(engine), requestsBefore);
+    // Later answers are not marked: the other gateway has to learn of it from the leader.
     engine.fault.saysLeaving = false;
-    await sleep(NEWS_MS);
-    await askTimes(other.address, { path, times: 30 });
-    assert.is(countRequests(engine), told);
-    // A new leader knows too, and heartbeats that say otherwise change nothing.
+    await sleep(PROPAGATION_MS);
+    await sendCalls(other.address, { path, times: 30 });
+    assert.is(countRequests(engine), requestsBefore);
+    // A new leader keeps it, and heartbeats without the mark change nothing.
     assert.ok(await stopLeader(fleet));
     const added = await fleet.addGateway();
-    await until("it serves", () => added.gateway.isReady());
-    await askTimes(added.address, { path, times: 10 });
-    assert.is(countRequests(engine), told);
+    await until("the new gateway is ready", () => added.gateway.isReady());
+    await sendCalls(added.address, { path, times: 10 });
+    assert.is(countRequests(engine), requestsBefore);
   });
 }
 
-test("an engine that says so while it turns requests away gets nothing more", async () => {
+test("an engine that marks a rejection as leaving gets no more requests", async () => {
   await using fleet = await startServing({ controls: 1, gateways: 1 });
   const [{ address }] = fleet.gateways;
   const path = "/safe/1";
-  const engine = await findUsed(fleet, { path, engines: fleet.plain });
+  const engine = await findUsedEngine(fleet, { path, engines: fleet.plain });
   engine.fault.saysLeaving = true;
   engine.fault.isFull = true;
   const before = countRequests(engine);
-  await until("it turned one away", async () => {
+  await until("the engine has rejected a request", async () => {
     await call(address, { path });
     return countRequests(engine) > before;
   });
   engine.fault.isFull = false;
-  await askTimes(address, { path, times: 30 });
+  await sendCalls(address, { path, times: 30 });
   assert.is(countRequests(engine), before + 1);
 });
 
--- a/test/limited_engine_test.ts
+++ b/test/limited_engine_test.ts
@@ -1,12 +1,11 @@
 /**
- * An engine that couldn't cope named the requests a second that it takes from all
- * gateways together, 4.6. It went on getting 13 a second from eleven gateways, 54
- * in four seconds. Callers noticed nothing: it served them all, which is what it
- * had asked not to have to do. The limit was read nowhere, and had it been, each
- * gateway alone would have spent all of it: nothing bounded what all of them send.
- * Evidence: of 85 streams that reached an engine of a test fleet after it had named
- * its limit 81 were sent by gateways that had its answer, and a single gateway sent
- * 82 in five seconds, where 23 were allowed.
+ * Guards against gateways that exceed the rate limit of an overloaded engine. An engine
+ * that set a limit of 4.6 requests a second for all gateways together still got 13 a
+ * second from eleven gateways, 54 in four seconds, and served them all. Gateways ignored
+ * the limit, and a limit that each gateway applies by itself does not bound their sum.
+ * In a test fleet, 81 of the 85 streams that reached an engine after it had set its limit
+ * came from gateways that knew the limit, and a single gateway sent 82 in five seconds,
+ * where 23 were allowed.
  */
 
 import { setTimeout as sleep } from "node:timers/promises";
@@ -24,26 +23,26 @@
 } from "./support/fleet.ts";
 import { listRequests } from "./support/soak_callers.ts";
 
-/** Requests a second that the limited engine takes. */
+/** Rate limit of the limited engine, in requests a second. */
 const LIMIT_PER_S = 4.6;
 
-/** Ms over which requests are counted. */
+/** Length of the window in which requests are counted. */
 const WINDOW_MS = 4_000;
 
 /**
- * Requests that may reach it in such a window: half as many again as the limit
- * allows, and five.
+ * Most requests that may reach the engine in a window: one and a half times what the
+ * limit allows, plus five.
  */
-const MOST_IN_WINDOW = 1.5 * LIMIT_PER_S * WINDOW_MS / 1_000 + 5;
+const MAX_IN_WINDOW = 1.5 * LIMIT_PER_S * WINDOW_MS / 1_000 + 5;
 
-/** Ms in which all gateways hear of a limit that one was told. */
-const NEWS_MS = 3_000;
+/** Time within which a limit that one gateway received reaches all gateways. */
+const PROPAGATION_MS = 3_000;
 
-/** Ms between two requests of the callers. */
-const ASK_INTERVAL_MS = 25;
+/** Interval between two requests of the callers. */
+const CALL_INTERVAL_MS = 25;
 
-/** Asks all gateways in turn for a while; gives the statuses of the answers. */
-async function askAll(
+/** Sends requests to all gateways in turn for a time; gives the answers' statuses. */
+async function callAll(
   fleet: TestFleet,
   options: { readonly path: string; readonly spanMs: number },
 ): Promise<readonly number[]> {
@@ -53,7 +52,7 @@
   for (let at = 0; performance.now() < endMs; at++) {
     const { address } = fleet.gateways[at % fleet.gateways.length];
     answers.push(call(address, { path }));
-    await sleep(ASK_INTERVAL_MS);
+    await sleep(CALL_INTERVAL_MS);
   }
   return (await Promise.all(answers)).map(({ status }) => status);
 }
@@ -62,75 +61,75 @@
   return listRequests(engine).map(({ atMs }) => atMs);
 }
 
-/** The most requests that reached an engine in one window from a time on. */
-function getBusiestWindow(engine: LayerEngine, fromMs: number): number {
+/** Gives the most requests that reached an engine in any window after a time. */
+function countBusiestWindow(engine: LayerEngine, fromMs: number): number {
   const timesMs = listRequestTimes(engine).filter((atMs) => atMs >= fromMs);
   return countMostInWindow(timesMs, WINDOW_MS);
 }
 
-function getBusiest(engines: readonly LayerEngine[]): LayerEngine {
+function getBusiestEngine(engines: readonly LayerEngine[]): LayerEngine {
   const getCount = (engine: LayerEngine) => listRequestTimes(engine).length;
   return [...engines].sort((a, b) => getCount(b) - getCount(a))[0];
 }
 
 for (const path of ["/stream/1", "/safe/1", "/once/1"]) {
   test(`gateways together keep to an engine's limit at ${path}`, async () => {
-    // Short streams: the other engines have room for all of them on a busy machine too.
+    // Short streams: the other engines have capacity for all, on a busy machine too.
     const size = { controls: 1, gateways: 4, events: 4 };
     await using fleet = await startServing(size);
-    await askAll(fleet, { path, spanMs: 500 });
-    const engine = getBusiest(
+    await callAll(fleet, { path, spanMs: 500 });
+    const engine = getBusiestEngine(
       path === "/stream/1" ? fleet.engines : fleet.plain,
     );
     engine.fault.namesLimit = [String(LIMIT_PER_S)];
     const namedMs = performance.now();
-    const statuses = await askAll(fleet, {
+    const statuses = await callAll(fleet, {
       path,
-      spanMs: NEWS_MS + WINDOW_MS,
+      spanMs: PROPAGATION_MS + WINDOW_MS,
     });
-    const most = getBusiestWindow(engine, namedMs + NEWS_MS);
-    assert.ok(most <= MOST_IN_WINDOW, `${most} requests in 4 s`);
-    assert.ok(most >= MOST_IN_WINDOW / 4, `only ${most} requests in 4 s`);
+    const most = countBusiestWindow(engine, namedMs + PROPAGATION_MS);
+    assert.ok(most <= MAX_IN_WINDOW, `${most} requests in 4 s`);
+    assert.ok(most >= MAX_IN_WINDOW / 4, `only ${most} requests in 4 s`);
     assert.ok(statuses.every((status) => status === 200), statuses.join());
   });
 }
 
-test("an engine that no longer names a limit is used as before", async () => {
+test("an engine that no longer sets a limit is used without one", async () => {
   await using fleet = await startServing({ controls: 1, gateways: 3 });
   const path = "/safe/1";
   for (const { fault } of fleet.plain) fault.namesLimit = ["1"];
-  await askAll(fleet, { path, spanMs: 1_000 });
+  await callAll(fleet, { path, spanMs: 1_000 });
   const limitedMs = performance.now();
-  await askAll(fleet, { path, spanMs: 2_000 });
+  await callAll(fleet, { path, spanMs: 2_000 });
   const count = (fromMs: number) =>
     fleet.plain.flatMap(listRequestTimes).filter((ms) => ms >= fromMs).length;
   assert.ok(count(limitedMs) <= 6, `${count(limitedMs)} while limited`);
   for (const { fault } of fleet.plain) fault.namesLimit = undefined;
-  await until("the end of the limits is known", async () => {
-    const statuses = await askAll(fleet, { path, spanMs: 250 });
+  await until("all gateways know that the limits ended", async () => {
+    const statuses = await callAll(fleet, { path, spanMs: 250 });
     return statuses.every((status) => status === 200);
   });
 });
 
-test("a refusal that names no limit doesn't end one", async () => {
+test("a rejection without a limit doesn't end one", async () => {
   await using fleet = await startServing({ controls: 1, gateways: 2 });
   const path = "/safe/1";
   const [engine] = fleet.plain;
   engine.fault.namesLimit = ["5"];
-  await askAll(fleet, { path, spanMs: 1_000 });
+  await callAll(fleet, { path, spanMs: 1_000 });
   Object.assign(engine.fault, { isFull: true, hidesLimitWhenFull: true });
   const fromMs = performance.now();
-  await askAll(fleet, { path, spanMs: WINDOW_MS });
-  const most = getBusiestWindow(engine, fromMs);
+  await callAll(fleet, { path, spanMs: WINDOW_MS });
+  const most = countBusiestWindow(engine, fromMs);
   assert.ok(most <= 5 * WINDOW_MS / 1_000 + 2, `${most} requests in 4 s`);
 });
 
 for (const path of ["/stream/1", "/safe/1"]) {
-  test(`callers are told at once where all are at their limits at ${path}`, async () => {
+  test(`requests are rejected without delay when all engines are at their limits at ${path}`, async () => {
     await using fleet = await startServing({ controls: 1, gateways: 3 });
     const engines = path === "/stream/1" ? fleet.engines : fleet.plain;
     for (const { fault } of engines) fault.namesLimit = ["0.5"];
-    await askAll(fleet, { path, spanMs: 1_000 });
+    await callAll(fleet, { path, spanMs: 1_000 });
     const refusals = [];
     for (let at = 0; at < 60; at++) {
       const { address } = fleet.gateways[at % 3];
@@ -148,7 +147,7 @@
       assert.is(status, 503);
       assert.match(text, /limited/);
     }
-    // What the limits let through is divided among all who come again.
+    // Waits are spread, so that retries share the rate that the limits admit.
     assert.ok(waitsS.every((waitS) => waitS > 0 && waitS <= 8), waitsS.join());
     assert.ok(new Set(waitsS).size > refusals.length / 2, waitsS.join());
     const tookMs = refusals.map((one) => one.tookMs).sort((a, b) => a - b);
@@ -156,20 +155,20 @@
   });
 }
 
-test("a gateway that joins and a new leader know the limits", async () => {
+test("a new gateway and a new leader keep the limits", async () => {
   await using fleet = await startServing({ controls: 3, gateways: 2 });
   const path = "/safe/1";
   const { plain } = fleet;
   for (const { fault } of plain) fault.namesLimit = ["2"];
-  await askAll(fleet, { path, spanMs: 1_000 });
+  await callAll(fleet, { path, spanMs: 1_000 });
   const fromMs = performance.now();
   const added = fleet.addGateway();
   const stopped = stopLeader(fleet);
-  await askAll(fleet, { path, spanMs: 3_000 });
+  await callAll(fleet, { path, spanMs: 3_000 });
   await Promise.all([added, stopped]);
-  await askAll(fleet, { path, spanMs: 3_000 });
+  await callAll(fleet, { path, spanMs: 3_000 });
   for (const engine of plain) {
-    const most = getBusiestWindow(engine, fromMs);
+    const most = countBusiestWindow(engine, fromMs);
     assert.ok(most <= 2 * WINDOW_MS / 1_000 + 1, `${most} requests in 4 s`);
   }
   assert.ok(plain.flatMap(listRequestTimes).some((ms) => ms > fromMs + 3_000));
--- a/test/many_gateways_test.ts
+++ b/test/many_gateways_test.ts
@@ -1,6 +1,6 @@
 /**
- * Two hundred gateways before three control processes: all are told, and none
- * loses what it knows when the leader goes.
+ * Two hundred gateways on three control processes: all receive the configuration, the
+ * engines and the load totals, and none loses them when the leader stops.
  */
 
 import { mkdtemp, rm } from "node:fs/promises";
@@ -32,38 +32,38 @@
 const ENGINES = 60;
 const CONTROLS = 3;
 
-/** Ms between two beats of an engine. */
-const BEAT_MS = 500;
+/** Interval between two heartbeats of an engine. */
+const HEARTBEAT_MS = 500;
 
-/** A gateway's session with what it was told. */
-interface ToldGateway {
+/** A gateway's session with the state that it received. */
+interface GatewaySession {
   readonly link: FleetLink;
   readonly engineIds: Set<string>;
-  /** Fewest engines that it knew once it knew all. */
+  /** Fewest engines known at a time since all were known. */
   fewestEngines: number;
   config: RouteConfig | undefined;
   confirmedVersion: number;
-  /** Times that it was told all loads. */
-  sums: number;
-  /** Requests that begin on the first engine, as it was told last. */
+  /** Number of load totals received. */
+  loadTotals: number;
+  /** Requests of all gateways on the first engine, as received last. */
   requestsOnFirst: number;
-  /** Fewest of them that it was told once it was told of all gateways'. */
+  /** Fewest such requests received since those of all gateways were received. */
   fewestRequests: number;
 }
 
-function openGateway(at: number, seeds: readonly FleetSeed[]): ToldGateway {
-  const gateway: Omit<ToldGateway, "link"> = {
+function openGateway(at: number, seeds: readonly FleetSeed[]): GatewaySession {
+  const gateway: Omit<GatewaySession, "link"> = {
     engineIds: new Set(),
     fewestEngines: Infinity,
     config: undefined,
     confirmedVersion: -1,
-    sums: 0,
+    loadTotals: 0,
     requestsOnFirst: 0,
     fewestRequests: Infinity,
   };
   const getVersion = () => gateway.config?.version ?? -1;
 
-  function takeEngines(message: LeaderMessage & { type: "engines" }): void {
+  function applyEngines(message: LeaderMessage & { type: "engines" }): void {
     const { engineIds } = gateway;
     if (message.isWhole) engineIds.clear();
     message.gone.forEach((id) => engineIds.delete(id));
@@ -72,9 +72,9 @@
     gateway.fewestEngines = Math.min(gateway.fewestEngines, engineIds.size);
   }
 
-  function takeLoads({ loads }: LeaderMessage & { type: "loads" }): void {
+  function applyLoads({ loads }: LeaderMessage & { type: "loads" }): void {
     const requests = loads.e0?.requests ?? 0;
-    gateway.sums += 1;
+    gateway.loadTotals += 1;
     gateway.requestsOnFirst = requests;
     if (gateway.fewestRequests === Infinity && requests < GATEWAYS) return;
     gateway.fewestRequests = Math.min(gateway.fewestRequests, requests);
@@ -101,15 +101,15 @@
     getQuarantineNews: () => ({}),
     onWelcome: () => {},
     onMessage(message) {
-      if (message.type === "engines") takeEngines(message);
+      if (message.type === "engines") applyEngines(message);
       if (message.type === "config") {
         gateway.config = decodeConfig(unpackDocument(message.packed));
       }
       if (message.type === "configChange") {
-        if (!gateway.config) throw new Error("A change before the whole");
+        if (!gateway.config) throw new Error("Config change before any config");
         gateway.config = applyConfigChange(gateway.config, message.change);
       }
-      if (message.type === "loads") takeLoads(message);
+      if (message.type === "loads") applyLoads(message);
     },
     onConfirmed: (_sentMs, version) => {
       gateway.confirmedVersion = version;
@@ -133,7 +133,7 @@
         dataFolder: join(folder, String(at)),
         isFirstStart: true,
         voters: CONTROLS,
-        beatIntervalMs: BEAT_MS,
+        beatIntervalMs: HEARTBEAT_MS,
         repeats: { extra: 100, windowMs: 10_000 },
       }, {
         getSeeds: () => seeds,
@@ -151,7 +151,7 @@
   const findLeader = () =>
     [...running].find((one) => one.getState().role === "leader");
   let sequence = 0;
-  const beating = setInterval(() => {
+  const heartbeatTimer = setInterval(() => {
     sequence += 1;
     const [any] = running;
     for (let at = 0; at < ENGINES; at++) {
@@ -163,7 +163,7 @@
       });
       void any?.call({ type: "beat", beat });
     }
-  }, BEAT_MS);
+  }, HEARTBEAT_MS);
   const gateways = Array.from(
     { length: GATEWAYS },
     (_, at) => openGateway(at, seeds),
@@ -178,12 +178,12 @@
     },
     async stopLeader() {
       const leader = findLeader();
-      if (!leader) throw new Error("Nobody leads");
+      if (!leader) throw new Error("No control process leads");
       running.delete(leader);
       await leader.stop();
     },
     async [Symbol.asyncDispose]() {
-      clearInterval(beating);
+      clearInterval(heartbeatTimer);
       await Promise.all(
         gateways.map(({ link }) => link[Symbol.asyncDispose]()),
       );
@@ -196,7 +196,7 @@
 test("200 gateways are told all, and keep it when the leader goes", async () => {
   await using fleet = await startFleet();
   const { gateways } = fleet;
-  const all = (holds: (gateway: ToldGateway) => boolean) => () =>
+  const all = (holds: (gateway: GatewaySession) => boolean) => () =>
     gateways.every(holds);
   await until("a version is taken", () => fleet.put(1));
   await until("all know it", all((one) => one.confirmedVersion === 1));
@@ -212,18 +212,18 @@
   await until("all have the change", all((one) => one.confirmedVersion === 3));
   assert.ok(gateways.every((one) => one.config?.version === 3));
 
-  for (const gateway of gateways) gateway.sums = 0;
+  for (const gateway of gateways) gateway.loadTotals = 0;
   await fleet.stopLeader();
   await until("another leads", () => fleet.findLeader() !== undefined);
   await until("it takes a version", () => fleet.put(5));
   await until("all follow it", all((one) => one.confirmedVersion === 5));
   await until(
     "all are told the work of all again",
-    all((one) => one.sums > 0 && one.requestsOnFirst === GATEWAYS),
+    all((one) => one.loadTotals > 0 && one.requestsOnFirst === GATEWAYS),
   );
-  // A new leader had to hear all engines first; nobody forgot any meanwhile.
+  // A new leader first receives heartbeats of all engines; no gateway drops any meanwhile.
   assert.ok(gateways.every((one) => one.fewestEngines === ENGINES));
-  // Nor was a part of the work told as all of it: engines would look empty.
+  // Partial load totals are not sent either: engines would appear idle.
   assert.ok(gateways.every((one) => one.fewestRequests === GATEWAYS));
 });
 
--- a/test/orders_test.ts
+++ b/test/orders_test.ts
@@ -8,7 +8,7 @@
 import { type Engine, startEngine, startPlatform } from "../standins/index.ts";
 import { complete, expectText, readText } from "./support/trial.ts";
 
-function isRising(engine: Engine): boolean {
+function hasRisingFences(engine: Engine): boolean {
   return engine.orders.every((order, at) => {
     const before = engine.orders[at - 1];
     if (!before) return true;
@@ -18,9 +18,9 @@
   });
 }
 
-// Half of the engines check fences, half do not: none may see an older order
-// take effect after a newer one, also when leaders change in between.
-test("control places layers, repairs a loss, and never orders backwards", async () => {
+// Half of the engines check fencing tokens and half do not: on none may an older order
+// take effect after a newer one, leader changes included.
+test("control places layers, replaces lost engines and never applies an older order", async () => {
   await using platform = await startPlatform();
   const engines = await Promise.all(
     Array.from({ length: 6 }, (_v, at) =>
@@ -57,7 +57,7 @@
     });
     return spec.assignments;
   };
-  const answers = async () => {
+  const answersCorrectly = async () => {
     const prompt = "Placed by control";
     const answer = await complete(entries[0].address, { prompt, tokens: 4 });
     return readText(answer) === expectText(prompt, 4);
@@ -66,7 +66,7 @@
     "the model is placed",
     async () => (await readPlacement()).every((one) => one.ready),
   );
-  await fleet.until("the model answers", answers);
+  await fleet.until("the model answers", answersCorrectly);
 
   const { leader } = await readStatus(fleet);
   const process = fleet.controls.find((control) => control.name === leader);
@@ -78,15 +78,15 @@
     if (lost.includes(upstream.name)) platform.remove(upstream.vm);
   }
   process?.start();
-  await fleet.until("another engine took over", async () => {
+  await fleet.until("other engines hold the lost layers", async () => {
     const now = await readPlacement();
     const moved = now.filter((one) =>
       one.layers.start === 0 && one.ready && !lost.includes(one.upstream)
     );
     return moved.length >= 2;
   });
-  await fleet.until("the model answers again", answers);
-  for (const engine of engines) assert.ok(isRising(engine));
+  await fleet.until("the model answers again", answersCorrectly);
+  for (const engine of engines) assert.ok(hasRisingFences(engine));
   for (const engine of engines) await engine[Symbol.asyncDispose]();
 });
 
--- a/test/outcomes_test.ts
+++ b/test/outcomes_test.ts
@@ -56,9 +56,9 @@
   });
 }
 
-// While control has no leader an entry refuses claims as not run; callers come
-// again when they are told to.
-async function postUntilTaken(
+// While control has no leader an entry rejects claims as not run; callers retry after
+// the time in retry-after.
+async function postWithRetry(
   trial: Trial,
   path: string,
   options: { key: string },
@@ -67,9 +67,9 @@
     const answer = await post(trial, path, options);
     if (answer.headers["crowlever-reason"] !== "no_quorum") return answer;
     assert.is(answer.headers["crowlever-outcome"], "not_run");
-    assert.is(countRuns(trial, path), 0, "what was refused has not run");
+    assert.is(countRuns(trial, path), 0, "a rejected request has not run");
     const retryAfterS = Number(answer.headers["retry-after"]);
-    assert.ok(retryAfterS > 0, "a refusal says when to come back");
+    assert.ok(retryAfterS > 0, "a rejection has a retry-after header");
     await sleep(retryAfterS * 1_000);
   }
 }
@@ -90,7 +90,7 @@
     ran: 1,
   },
   {
-    name: "an answer cut in its midst",
+    name: "an answer that breaks off",
     fault: { cut: "within" },
     outcome: "unknown",
     ran: 1,
@@ -104,7 +104,7 @@
   },
   { name: "a server error", fault: { status: 500 }, outcome: "failed", ran: 1 },
   {
-    name: "the upstream's own refusal",
+    name: "a rejection by the upstream",
     fault: { saysNotRun: true },
     outcome: "not_run",
     ran: 0,
@@ -112,7 +112,7 @@
 ];
 
 for (const { name, fault, outcome, ran, deadlineMs } of ROWS) {
-  test(`what is not repeatable and meets ${name} is ${outcome} and ran ${ran} times`, async ({ trial }) => {
+  test(`a request that is not repeatable and meets ${name} is ${outcome} and runs ${ran} times`, async ({ trial }) => {
     setFault(trial, fault);
     const path = `/row/${nextKey++}`;
     const answer = await post(trial, path, { deadlineMs });
@@ -121,7 +121,7 @@
   });
 }
 
-test("what is repeatable is tried again and done", async ({ trial }) => {
+test("a repeatable request is retried until it is done", async ({ trial }) => {
   for (let count = 0; count < 20; count++) {
     trial.plain[0].fault.cut = "before";
     const { address } = trial.entries[count % 3];
@@ -134,7 +134,7 @@
   assert.ok(counters.some((one) => one["retry.reset_before_answer"] > 0));
 });
 
-test("the same claim at three entries at once runs once, and all get its answer", async ({ trial }) => {
+test("a claim sent to three entries at once runs once, and all get its answer", async ({ trial }) => {
   setFault(trial, { delayMs: 300 });
   const key = `claim-${nextKey++}`;
   const path = `/once/${key}`;
@@ -148,7 +148,7 @@
   }
 });
 
-test("the same key for another request is refused as not run", async ({ trial }) => {
+test("a key reused for another request is rejected as not run", async ({ trial }) => {
   const key = `claim-${nextKey++}`;
   await post(trial, `/first/${key}`, { key });
   const other = await post(trial, `/second/${key}`, { key });
@@ -170,7 +170,7 @@
   assert.is(countRuns(trial, path), 1);
 });
 
-test("a claim that did not run is run at the next try", async ({ trial }) => {
+test("a claim that did not run is run at the next attempt", async ({ trial }) => {
   setFault(trial, { saysNotRun: true });
   const key = `claim-${nextKey++}`;
   const path = `/later/${key}`;
@@ -182,7 +182,7 @@
   assert.is(countRuns(trial, path), 1);
 });
 
-test("a claim runs at most once when the leader dies in its midst", async ({ trial }) => {
+test("a claim runs at most once when the leader is killed meanwhile", async ({ trial }) => {
   const { fleet } = trial;
   const { leader } = await readStatus(fleet);
   const process = fleet.controls.find((control) => control.name === leader);
@@ -200,13 +200,12 @@
     assert.ok(runs <= 1, `${key} ran ${runs} times`);
     const outcomes = [answers[at], answers[at + keys.length]]
       .map((answer) => answer.headers["crowlever-outcome"]);
-    // Who is told `done` gets the one run; who is told `not_run` may count on
-    // it unless the other was told something else.
+    // `done` stands for the one run; `not_run` is certain only if both entries answer it.
     if (outcomes.includes("done")) assert.is(runs, 1);
     if (outcomes.every((outcome) => outcome === "not_run")) assert.is(runs, 0);
   });
   process.start();
-  await fleet.until("the leader is back", async () => {
+  await fleet.until("the killed control process is back", async () => {
     const { members } = await readStatus(fleet);
     return members.length === 3;
   });
@@ -217,33 +216,33 @@
   }
 });
 
-test("a claim whose entry is killed is unknown to the next, never run twice", async ({ trial }) => {
+test("a claim whose entry is killed has an unknown outcome at the next entry and never runs twice", async ({ trial }) => {
   const { fleet } = trial;
-  const victim = fleet.entries.find((entry) =>
+  const killedEntry = fleet.entries.find((entry) =>
     trial.entries[0].address.endsWith(entry.address)
   );
-  assert.ok(victim);
+  assert.ok(killedEntry);
   setFault(trial, { delayMs: 2_000 });
   const key = `claim-${nextKey++}`;
   const path = `/crash/${key}`;
-  const first = postUntilTaken(trial, path, { key }).catch(() => undefined);
+  const first = postWithRetry(trial, path, { key }).catch(() => undefined);
   await fleet.until("the request runs", () => countRuns(trial, path) === 1);
-  victim.kill("SIGKILL");
+  killedEntry.kill("SIGKILL");
   await first;
   const again = await post(trial, path, { entry: 1, key });
   assert.is(again.headers["crowlever-outcome"], "unknown");
   assert.is(countRuns(trial, path), 1);
-  victim.start();
+  killedEntry.start();
   await fleet.until("the entry is back", async () => {
     const { entries } = await readStatus(fleet);
     return entries.length === 3;
   });
 });
 
-// How long the news takes is measured, not asserted: `npm run measure -- path`.
-test("an upstream that is leaving gets no new work any more", async ({ trial }) => {
+// The delay of the update is not checked here; `npm run measure -- path` measures it.
+test("an upstream that is leaving gets no new requests", async ({ trial }) => {
   trial.platform.set("plain-vm-1", "leaving");
-  const isLeftAlone = async () => {
+  const getsNoRequests = async () => {
     for (let count = 0; count < 60; count++) {
       const path = `/leaving/${nextKey++}`;
       const { address } = trial.entries[count % 3];
@@ -253,7 +252,10 @@
     }
     return true;
   };
-  await trial.fleet.until("the leaving upstream is left alone", isLeftAlone);
+  await trial.fleet.until(
+    "the leaving upstream gets no more requests",
+    getsNoRequests,
+  );
   trial.platform.set("plain-vm-1", "live");
 });
 
--- a/test/pipeline_faults_test.ts
+++ b/test/pipeline_faults_test.ts
@@ -34,13 +34,17 @@
   }
 });
 
-// All copies of one stage but the last are hurt: wherever the request runs, it
-// meets the fault, and one copy is left to go on with.
-async function runThrough(
+// Injects a fault into the engine of the second stage that runs the request; the other
+// engines of the stage are left to continue with.
+async function completeWithFault(
   trial: Trial,
-  options: { prompt: string; afterMs: number; hurt: (engine: Engine) => void },
+  options: {
+    prompt: string;
+    afterMs: number;
+    injectFault: (engine: Engine) => void;
+  },
 ): Promise<void> {
-  const { prompt, afterMs, hurt } = options;
+  const { prompt, afterMs, injectFault } = options;
   const running = complete(trial.entries[0].address, {
     prompt,
     tokens: TOKENS,
@@ -48,7 +52,7 @@
   });
   await sleep(afterMs);
   const busy = trial.engines[1].find((engine) => engine.getCaches() > 0);
-  hurt(busy ?? trial.engines[1][0]);
+  injectFault(busy ?? trial.engines[1][0]);
   const answer = await running;
   assert.is(readText(answer), expectText(prompt, TOKENS));
   assert.is(answer.trailers["crowlever-outcome"], "done");
@@ -60,32 +64,32 @@
   "answers late": (engine) => engine.fault.delayMs = 900,
 };
 
-for (const [name, hurt] of Object.entries(FAULTS)) {
+for (const [name, injectFault] of Object.entries(FAULTS)) {
   for (
     const [when, afterMs] of [["at the prompt", 0], [
       "mid-stream",
       120,
     ]] as const
   ) {
-    test(`a stage that ${name} ${when} costs the caller no token`, async ({ trial }) => {
+    test(`the caller loses no token if a stage ${name} ${when}`, async ({ trial }) => {
       const prompt = `Stage ${name} ${when}`;
-      await runThrough(trial, { prompt, afterMs, hurt });
+      await completeWithFault(trial, { prompt, afterMs, injectFault });
     });
   }
 }
 
-test("stages that die at the last tokens cost none", async ({ trial }) => {
+test("no token is lost if a stage crashes at the last tokens", async ({ trial }) => {
   for (let round = 0; round < 5; round++) {
-    await runThrough(trial, {
+    await completeWithFault(trial, {
       prompt: `Last tokens ${round}`,
       afterMs: TOKENS * 3 * 4 + round * 12,
-      hurt: (engine) => engine.fault.cutting = true,
+      injectFault: (engine) => engine.fault.cutting = true,
     });
     for (const engine of trial.engines.flat()) engine.fault.cutting = false;
   }
 });
 
-test("all answers are whole while stages die one after the other", async ({ trial }) => {
+test("all answers are complete while stages crash one after the other", async ({ trial }) => {
   const prompts = Array.from({ length: 40 }, (_v, at) => `Many ${at} here`);
   const running = Promise.all(
     prompts.map((prompt, at) =>
@@ -105,7 +109,7 @@
   });
 });
 
-test("without any copy of a stage a new request is refused as not run", async ({ trial }) => {
+test("a request is not done and has a retry-after header if no engine of a stage is left", async ({ trial }) => {
   for (const engine of trial.engines[2]) engine.fault.cutting = true;
   const first = await complete(trial.entries[0].address, {
     prompt: "Nobody there",
@@ -116,7 +120,7 @@
   assert.ok(first.headers["retry-after"]);
 });
 
-test("a caller that comes back gets the rest, also at another entry", async ({ trial }) => {
+test("a caller that reconnects gets the remaining tokens, by a redirect at another entry", async ({ trial }) => {
   const prompt = "Come back later";
   const first = await complete(trial.entries[0].address, {
     prompt,
@@ -142,14 +146,14 @@
   );
 });
 
-test("caches of the stages are freed", async ({ trial }) => {
+test("the stages release their caches", async ({ trial }) => {
   await trial.fleet.until(
-    "caches are freed",
+    "all caches are released",
     () => trial.engines.flat().every((engine) => engine.getCaches() === 0),
   );
 });
 
-test("repairs and their reasons are counted", async ({ trial }) => {
+test("repairs and the reasons of retries are counted", async ({ trial }) => {
   const counters = await readCounters(trial.entries[0].address);
   assert.ok(counters["pipeline.repairs"] >= 4);
   assert.ok(counters["retry.reset_before_answer"] >= 1);
--- a/test/planned_stop_test.ts
+++ b/test/planned_stop_test.ts
@@ -14,13 +14,13 @@
   startTrial,
 } from "./support/trial.ts";
 
-// A caller that does as docs/CALLERS.md says: keeps the answer for its time
-// to live, then asks again, at any entry that it knows.
+// Chooses an entry as docs/CALLERS.md describes: caches the list of entries for its
+// time to live, then requests it again from any known entry.
 function createCaller(addresses: readonly string[], ttlMs: number) {
   let known = [...addresses];
-  let askedMs = -Infinity;
+  let listedMs = -Infinity;
   return async (): Promise<string> => {
-    if (performance.now() - askedMs > ttlMs) {
+    if (performance.now() - listedMs > ttlMs) {
       for (const address of known) {
         const listed = await listEntries(new URL(address).host, "drafting")
           .catch(() => []);
@@ -28,31 +28,31 @@
         known = listed.map((entry) => entry.address);
         break;
       }
-      askedMs = performance.now();
+      listedMs = performance.now();
     }
     return known[0];
   };
 }
 
-test("a planned stop under load cuts no request and ends with 0", async () => {
+test("a planned stop under load aborts no request and exits with 0", async () => {
   await using trial = await startTrial({ entries: 3, stepMs: 5 });
   const addresses = trial.entries.map((entry) => entry.address);
   let stopped = false;
-  let wrong = 0;
-  let done = 0;
+  let failedCount = 0;
+  let doneCount = 0;
   const callers = Array.from({ length: 12 }, async (_v, at) => {
-    const choose = createCaller(addresses, 500);
+    const chooseEntry = createCaller(addresses, 500);
     for (let count = 0; !stopped; count++) {
-      const address = await choose();
+      const address = await chooseEntry();
       const prompt = `Caller ${at} asks ${count}`;
       const answer = count % 2 === 0
         ? await complete(address, { prompt, tokens: 12, stream: true })
         : await send(`${address}/services/dashboard/c/${at}/${count}`);
-      const right = count % 2 === 0
+      const isCorrect = count % 2 === 0
         ? readText(answer) === expectText(prompt, 12)
         : answer.headers["crowlever-outcome"] === "done";
-      if (right) done += 1;
-      else wrong += 1;
+      if (isCorrect) doneCount += 1;
+      else failedCount += 1;
     }
   });
   await sleep(500);
@@ -68,16 +68,16 @@
   stopped = true;
   await Promise.all(callers);
   assert.is(code, 0);
-  assert.is(wrong, 0);
-  // How many were done depends on the machine; that some were in flight at
-  // the entry when it was told to stop does not.
-  assert.ok(done >= 24);
+  assert.is(failedCount, 0);
+  // The number of completed requests depends on the machine; that some were in flight
+  // at the entry when it received SIGTERM does not.
+  assert.ok(doneCount >= 24);
   assert.match(first.getLog(), /CL1002 .*inFlight=[1-9]/);
   assert.match(first.getLog(), /CL1004/);
 });
 
 for (const role of ["entries", "controls"] as const) {
-  test(`a connection on which nothing was asked doesn't keep a program from its planned stop: ${role}`, async () => {
+  test(`an idle connection doesn't prevent a planned stop: ${role}`, async () => {
     await using fleet = await launchFleet({ controls: 1, entries: 1 });
     const [program] = fleet[role];
     const [host, port] = program.address.split(":");
@@ -88,7 +88,7 @@
     program.kill("SIGTERM");
     void program.ended().then((ended) => code = ended);
     try {
-      await until("it has ended", () => code !== undefined);
+      await until("the process has exited", () => code !== undefined);
     } finally {
       socket.destroy();
     }
--- a/test/programs_test.ts
+++ b/test/programs_test.ts
@@ -7,7 +7,7 @@
 import { getTrialResources } from "../demo/trial_resources.ts";
 import { runProgram as run } from "./support/run_program.ts";
 
-test("wrong settings end a program with 2 and name all mistakes", async () => {
+test("invalid settings make a program exit with 2 and list all errors", async () => {
   const folder = await mkdtemp(join(tmpdir(), "crowlever-"));
   const file = join(folder, "entry.jsonc");
   await writeFile(file, '{ "vm": 7, "listen": { "port": -1 } }');
@@ -22,7 +22,7 @@
   await rm(folder, { recursive: true });
 });
 
-test("the examples are right", async () => {
+test("the examples are valid", async () => {
   for (const name of await readdir("examples")) {
     if (!name.endsWith(".jsonc")) continue;
     const as = name.includes("entry")
@@ -40,7 +40,7 @@
   }
 });
 
-test("the command line declares, shows, races, watches, drains and explains", async () => {
+test("the command line applies, lists, watches, drains, explains and reports conflicts", async () => {
   await using fleet = await launchFleet({ controls: 1, entries: 1 });
   const file = join(fleet.folder, "fleet.jsonc");
   const resources = getTrialResources({
@@ -71,17 +71,17 @@
   assert.is(drained.code, 0, drained.output);
   const explained = await crowlever("explain", "pool/engines");
   assert.match(explained.output, /An operator drains it/);
-  const raced = await crowlever(
+  const conflicting = await crowlever(
     "delete",
     "clientAccount/dock",
     "--revision",
     "1",
   );
-  assert.is(raced.code, 3);
-  assert.match(raced.output, /differs|conflict/);
+  assert.is(conflicting.code, 3);
+  assert.match(conflicting.output, /differs|conflict/);
   const watched = await crowlever("watch", "--since", "0", "--count", "3");
   assert.match(watched.output, /^1 model\/drafting-model changed\n2 /);
-  const wrong = await run("crowlever", [
+  const unauthorized = await run("crowlever", [
     "get",
     "service",
     "--control",
@@ -89,12 +89,12 @@
     "--token",
     "wrong",
   ]);
-  assert.is(wrong.code, 1);
+  assert.is(unauthorized.code, 1);
   assert.is((await crowlever("get", "nonsense")).code, 1);
   assert.is((await crowlever("explain", "nonsense")).code, 2);
 });
 
-test("a data folder in use, or of another VM, is refused; inspect prints one", async () => {
+test("a data folder in use is rejected, and --inspect prints its contents", async () => {
   await using fleet = await launchFleet({ controls: 1, entries: 0 });
   const [control] = fleet.controls;
   const settings = join(fleet.folder, "control-1.jsonc");
--- a/test/stalled_leader_test.ts
+++ b/test/stalled_leader_test.ts
@@ -1,6 +1,6 @@
 /**
- * Silence that is the listener's own: a leader and gateways whose event loop stood
- * still while others spoke.
+ * A leader and gateways whose own event loop stalls, so that heartbeats from others are
+ * read late.
  */
 
 import { setTimeout as sleep } from "node:timers/promises";
@@ -12,19 +12,20 @@
 
 const ENGINES = 6;
 
-/** Ms for which the loop stands still: longer than any silence that is borne. */
+/** Duration of a stall: longer than every timeout for missing heartbeats. */
 const STALL_MS = 3_000;
 
-/** Ms in which the leader has looked at all engines and sessions. */
-const LOOKS_MS = 600;
+/** Time in which the leader checks all engines and sessions. */
+const CHECK_MS = 600;
 
 function stallLoop(): void {
   const endMs = performance.now() + STALL_MS;
   while (performance.now() < endMs);
 }
 
-// All engines were dropped in one moment, and all callers turned away.
-test("a leader that stood still takes nobody else for lost", async () => {
+// Guards against a leader that takes its own stall for missing heartbeats: all engines
+// were removed at once, and all callers were rejected.
+test("a leader whose event loop stalled removes no engine and no gateway", async () => {
   const lost: unknown[] = [];
   const log: Logger = (event, details) => {
     if (event === "engineLost" || event === "gatewayLost") lost.push(details);
@@ -36,12 +37,12 @@
   });
   const gateways = ["g0", "g1", "g2"].map((vm) => fleet.open(vm));
   await until(
-    "all are told the work of all",
+    "all gateways know the requests of all",
     () => gateways.every(({ toldRequests }) => toldRequests.at(-1) === 3),
   );
   for (let stall = 0; stall < 3; stall++) {
     stallLoop();
-    await sleep(LOOKS_MS);
+    await sleep(CHECK_MS);
   }
   assert.equal(lost, []);
   assert.equal(gateways.map(({ welcomes }) => welcomes), [1, 1, 1]);
--- a/test/tls_test.ts
+++ b/test/tls_test.ts
@@ -21,7 +21,7 @@
   });
 }
 
-test("processes with mutual TLS form a fleet; callers' certificates reload", async () => {
+test("processes with mutual TLS form a fleet, and the certificate for callers is reloaded", async () => {
   const folder = await mkdtemp(join(tmpdir(), "crowlever-"));
   const peerTls = await writeCertificate(folder, "peer");
   const { keyFile, certificateFile } = await writeCertificate(folder, "caller");
@@ -34,7 +34,7 @@
   const { address } = fleet.entries[0];
   const before = await readFingerprint(address);
   await writeCertificate(folder, "caller");
-  await fleet.until("the new certificate is shown", async () => {
+  await fleet.until("the entry serves the new certificate", async () => {
     return await readFingerprint(address) !== before;
   });
   assert.match(fleet.entries[0].getLog(), /CL1008/);
@@ -51,23 +51,23 @@
     controlSettings: { peerTls },
   });
   for (const tls of [undefined, foreign]) {
-    const stranger = await fleet.launchEntry("stranger", { peerTls: tls });
+    const unknownEntry = await fleet.launchEntry("stranger", { peerTls: tls });
     await fleet.until(
-      "it has tried",
-      () => stranger.getLog().includes("CL1001"),
+      "the entry has started",
+      () => unknownEntry.getLog().includes("CL1001"),
     );
     await new Promise((resolve) => setTimeout(resolve, 1_500));
-    assert.not.match(stranger.getLog(), /CL1404/);
-    stranger.kill("SIGKILL");
-    await stranger.ended();
+    assert.not.match(unknownEntry.getLog(), /CL1404/);
+    unknownEntry.kill("SIGKILL");
+    await unknownEntry.ended();
   }
-  const known = await fleet.launchEntry("known", { peerTls });
+  const knownEntry = await fleet.launchEntry("known", { peerTls });
   await fleet.until(
-    "the known one has a session",
-    () => known.getLog().includes("CL1404"),
+    "the entry with a certificate has a session",
+    () => knownEntry.getLog().includes("CL1404"),
   );
-  known.kill("SIGKILL");
-  await known.ended();
+  knownEntry.kill("SIGKILL");
+  await knownEntry.ended();
   await rm(folder, { recursive: true });
 });
 
--- a/test/whole_path_test.ts
+++ b/test/whole_path_test.ts
@@ -16,7 +16,7 @@
 
 const authorization = `Bearer ${ACCOUNT_KEY}`;
 
-test("real processes give every answer whole", async () => {
+test("a fleet of processes answers every request in full", async () => {
   await using first = await startEngine({ layerCount: LAYER_COUNT });
   await using second = await startEngine({ layerCount: LAYER_COUNT });
   await using plain = await startPlainService();
@@ -43,8 +43,8 @@
       layerCount: LAYER_COUNT,
       tokens: 6,
     });
-    const told = JSON.stringify({ headers: response.headers, body });
-    assert.is(response.headers["crowlever-outcome"], "done", told);
+    const details = JSON.stringify({ headers: response.headers, body });
+    assert.is(response.headers["crowlever-outcome"], "done", details);
     assert.is(body.choices[0].text, expected);
   }));
   for (let at = 0; at < 20; at++) {
