--- a/test/support/beat_engines.ts
+++ b/test/support/beat_engines.ts
@@ -1,5 +1,6 @@
 /**
- * Thread of engines that beat, whatever the thread of the test does.
+ * Worker thread that sends the heartbeats of engines, so that a blocked test thread
+ * does not delay them.
  *
  * @module
  */
@@ -12,21 +13,21 @@
 } from "../../src/wire/index.ts";
 import { makeBeat } from "./make_beat.ts";
 
-/** What the thread is given. */
-export interface BeatEnginesData {
-  /** Control processes; the one that leads takes the beats. */
+/** Data that the worker thread gets from the test. */
+export interface HeartbeatThreadData {
+  /** Control processes; the leader accepts the heartbeats. */
   readonly addresses: readonly string[];
   readonly engines: number;
   readonly intervalMs: number;
 }
 
-const { addresses, engines, intervalMs } = workerData as BeatEnginesData;
+const { addresses, engines, intervalMs } = workerData as HeartbeatThreadData;
 const clients = addresses.map((address) =>
   new wire.FleetClient(address, createClientCredentials(), CHANNEL_OPTIONS)
 );
 let sequence = 0;
 
-function beat(): void {
+function sendHeartbeats(): void {
   sequence += 1;
   for (let at = 0; at < engines; at++) {
     const engineId = `e${at}`;
@@ -35,15 +36,15 @@
       type: "beat",
       beat: makeBeat({ engineId, service: "model", address, sequence }),
     };
-    // Who doesn't lead, or has stopped, takes none.
+    // Sent to all; control processes that don't lead or have stopped reject it.
     for (const client of clients) {
       client.call({ json: JSON.stringify(call) }, () => {});
     }
   }
 }
 
-const timer = setInterval(beat, intervalMs);
-beat();
+const timer = setInterval(sendHeartbeats, intervalMs);
+sendHeartbeats();
 parentPort?.once("message", () => {
   clearInterval(timer);
   clients.forEach((client) => client.close());
--- a/test/support/certificates.ts
+++ b/test/support/certificates.ts
@@ -8,14 +8,14 @@
 import { join } from "node:path";
 import { generate } from "selfsigned";
 
-/** Files of a certificate that is its own authority. */
+/** Files of a self-signed certificate. */
 export interface CertificateFiles {
   readonly keyFile: string;
   readonly certificateFile: string;
   readonly authorityFile: string;
 }
 
-/** Writes a new key and certificate for the loopback address. */
+/** Writes a new key and self-signed certificate for the loopback address. */
 export async function writeCertificate(
   folder: string,
   name: string,
--- a/test/support/find_seeds.ts
+++ b/test/support/find_seeds.ts
@@ -7,7 +7,7 @@
 import { findFreePorts } from "../../demo/find_free_ports.ts";
 import type { FleetSeed } from "../../src/fleet/index.ts";
 
-/** Finds free addresses for so many control processes. */
+/** Finds free addresses for a number of control processes. */
 export async function findSeeds(count: number): Promise<FleetSeed[]> {
   const ports = await findFreePorts(count * 2);
   return Array.from({ length: count }, (_, at) => ({
--- a/test/support/fleet.ts
+++ b/test/support/fleet.ts
@@ -1,6 +1,6 @@
 /**
- * A fleet on the stand-in of the users' platform: control processes and
- * gateways in this process, engines and the operator as stand-ins.
+ * A fleet on the platform's protocol for tests: control processes and gateways run
+ * in this process; engines and the operator are stand-ins.
  *
  * @module
  */
@@ -35,7 +35,7 @@
 
 export { LAYERS, makeWireConfig };
 
-/** A control process with its data folder. */
+/** A control process under test. */
 export interface TestControl {
   readonly callerAddress: string;
   readonly control: FleetControl;
@@ -52,32 +52,32 @@
 export interface TestFleet extends AsyncDisposable {
   readonly controls: TestControl[];
   readonly gateways: TestGateway[];
-  /** Engines that hold layers. */
+  /** Engines of the layered model. */
   readonly engines: LayerEngine[];
-  /** Engines of the plain service. */
+  /** Upstreams of the plain service. */
   readonly plain: LayerEngine[];
-  /** Sends a configuration to one control process. */
+  /** Puts a configuration to one control process; resolves with the HTTP status. */
   put(config: object, at?: number): Promise<number>;
   readConfig(at?: number): Promise<{ status: number; text: string }>;
-  /** Resolves once all gateways hold this version and are ready. */
+  /** Resolves once all gateways hold at least this version and are ready. */
   settle(version: number): Promise<void>;
   addEngine(place?: string): Promise<LayerEngine>;
   addPlain(): Promise<LayerEngine>;
   addGateway(): Promise<TestGateway>;
 }
 
-const SILENT: Logger = () => {};
+const NO_LOG: Logger = () => {};
 
-/** A caller's answer. */
+/** The answer to a caller. */
 export interface CallAnswer {
   readonly status: number;
   readonly text: string;
   readonly headers: Record<string, string | string[] | undefined>;
 }
 
-let nextRequest = 0;
+let lastRequestNumber = 0;
 
-/** Sends one request as a caller. */
+/** Sends one request to a gateway as a caller. */
 export async function call(
   address: string,
   options: {
@@ -86,13 +86,13 @@
     deadlineMs?: number;
     signal?: AbortSignal;
     body?: string;
-    /** What the request's id begins with. */
+    /** Prefix of the request's id. */
     idPrefix?: string;
   },
 ): Promise<CallAnswer & { requestId: string }> {
   const { path, key = "key-1", deadlineMs = 5_000, signal } = options;
-  nextRequest += 1;
-  const requestId = `${options.idPrefix ?? "request"}-${nextRequest}`;
+  lastRequestNumber += 1;
+  const requestId = `${options.idPrefix ?? "request"}-${lastRequestNumber}`;
   const answer = await request(`http://${address}${path}`, {
     method: "POST",
     headers: {
@@ -110,14 +110,14 @@
   return { status, text, headers, requestId };
 }
 
-/** Starts a fleet. */
+/** Starts a fleet without a configuration. */
 export async function startTestFleet(
   options: {
     controls?: number;
     gateways?: number;
     events?: number;
     graceMs?: number;
-    /** Takes the log lines of the gateways. */
+    /** Receives the log lines of the gateways. */
     log?: Logger;
   } = {},
 ): Promise<TestFleet> {
@@ -147,7 +147,7 @@
       decodeConfig,
       sendLayerOrder,
       readPace,
-      log: SILENT,
+      log: NO_LOG,
       metrics,
       onFatal: (error) => {
         throw error;
@@ -186,13 +186,13 @@
       engineControl,
       decodeConfig,
       getSeedAddresses: () => seeds.map((seed) => seed.peerAddress),
-      log: options.log ?? SILENT,
+      log: options.log ?? NO_LOG,
       metrics,
     }),
   });
   const gateways = await Promise.all(ports.map(startOneGateway));
   const controlAddresses = seeds.map((seed) => seed.callerAddress);
-  const startOne = (service: string, card?: string, place = "p1") =>
+  const startUpstream = (service: string, card?: string, place = "p1") =>
     startLayerEngine({
       service,
       place,
@@ -201,10 +201,10 @@
       events: options.events,
     });
   const engines = await Promise.all([
-    ...[0, 1].map(() => startOne("model", "card", "p1")),
-    ...[0, 1].map(() => startOne("model", "card", "p2")),
+    ...[0, 1].map(() => startUpstream("model", "card", "p1")),
+    ...[0, 1].map(() => startUpstream("model", "card", "p2")),
   ]);
-  const plain = await Promise.all([0, 1].map(() => startOne("plain")));
+  const plain = await Promise.all([0, 1].map(() => startUpstream("plain")));
 
   return {
     controls,
@@ -235,7 +235,7 @@
       );
     },
     async addPlain() {
-      const engine = await startOne("plain");
+      const engine = await startUpstream("plain");
       plain.push(engine);
       return engine;
     },
@@ -246,7 +246,7 @@
       return added;
     },
     async addEngine(place = "p1") {
-      const engine = await startOne("model", "card", place);
+      const engine = await startUpstream("model", "card", place);
       engines.push(engine);
       return engine;
     },
@@ -260,16 +260,16 @@
   };
 }
 
-/** Events of a stand-in's answer unless a test says otherwise. */
+/** Events in a stand-in's answer by default. */
 const EVENTS = 20;
 
-/** What a caller of a whole stream gets. */
+/** Returns the body of a complete event stream. */
 export function expectStream(events = EVENTS): string {
   const ids = Array.from({ length: events }, (_, at) => at + 1);
   return ids.map((id) => `id: ${id}\ndata: token ${id}\n\n`).join("");
 }
 
-/** Stops the control process that leads; false where none does. */
+/** Stops the leader; returns false if no control process leads. */
 export async function stopLeader(fleet: TestFleet): Promise<boolean> {
   const at = fleet.controls.findIndex(({ control }) =>
     control.getState().role === "leader"
@@ -280,39 +280,42 @@
   return true;
 }
 
-async function untilPlaced(fleet: TestFleet): Promise<void> {
-  const isPlaced = (place: readonly [number, number][]) =>
+async function waitForPlacement(fleet: TestFleet): Promise<void> {
+  const coversAllLayers = (place: readonly [number, number][]) =>
     place.reduce((sum, [from, to]) => sum + to - from, 0) === LAYERS;
-  await until("each data centre holds a copy", () => {
+  await until("each data centre holds all layers", () => {
     const ranges = fleet.engines.map((engine) => engine.getRange());
-    return isPlaced(ranges.slice(0, 2).map(([a, b]) => [a, b])) &&
-      isPlaced(ranges.slice(2, 4).map(([a, b]) => [a, b]));
+    return coversAllLayers(ranges.slice(0, 2).map(([a, b]) => [a, b])) &&
+      coversAllLayers(ranges.slice(2, 4).map(([a, b]) => [a, b]));
   });
-  // The ranges reach the gateways with the engines' next beats.
+  // The gateways learn the ranges from the engines' next heartbeats.
   await sleep(600);
 }
 
-/** Adds a copy to each data centre; four engines can begin a stream then. */
+/** Adds two engines to each data centre; four engines can then start a stream. */
 export async function addCopies(fleet: TestFleet): Promise<void> {
   for (const place of ["p1", "p1", "p2", "p2"]) await fleet.addEngine(place);
-  const holdFirst = () =>
+  const listFirstEngines = () =>
     fleet.engines.filter((engine) => {
       const [from, to] = engine.getRange();
       return from === 0 && to > 0;
     });
-  await until("four engines can begin", () => holdFirst().length >= 4);
+  await until(
+    "four engines can start a stream",
+    () => listFirstEngines().length >= 4,
+  );
 }
 
-/** Starts a fleet and waits until it serves. */
+/** Starts a fleet with a configuration and waits until it serves. */
 export async function startServing(
   options: Parameters<typeof startTestFleet>[0] = {},
 ): Promise<TestFleet> {
   const fleet = await startTestFleet(options);
   await until(
-    "a configuration is taken",
+    "a configuration is accepted",
     async () => await fleet.put(makeWireConfig(1)) === 200,
   );
   await fleet.settle(1);
-  await untilPlaced(fleet);
+  await waitForPlacement(fleet);
   return fleet;
 }
--- a/test/support/make_beat.ts
+++ b/test/support/make_beat.ts
@@ -1,6 +1,6 @@
 import type { EngineBeat } from "../../src/engines/index.ts";
 
-/** Makes the first beat of upstream `e1` of service `s`. */
+/** Makes the first heartbeat of upstream `e1` of service `s`. */
 export function makeBeat(fields: Partial<EngineBeat> = {}): EngineBeat {
   return {
     engineId: "e1",
--- a/test/support/make_config.ts
+++ b/test/support/make_config.ts
@@ -1,5 +1,5 @@
 /**
- * Configurations for soaks: routes to add, and invalid ones.
+ * Configurations for soak tests: additional routes, and invalid documents.
  *
  * @module
  */
@@ -12,7 +12,7 @@
   readonly pathPrefix: string;
 }
 
-/** Makes a route to the plain service under a prefix of its own. */
+/** Makes a route to the plain service with a unique path prefix. */
 export function makeAddedRoute(at: number): WireRoute {
   return { ...getPlainRoute(), name: `r-${at}`, pathPrefix: `/added-${at}/` };
 }
@@ -22,7 +22,7 @@
   return routes[2];
 }
 
-/** Lists texts of configurations of a version, each invalid in its own way. */
+/** Lists documents of a version, each invalid for a different reason. */
 export function listInvalidConfigs(version: number): string[] {
   const config = makeWireConfig(version) as { routes: WireRoute[] };
   const route = getPlainRoute();
--- a/test/support/make_engine_record.ts
+++ b/test/support/make_engine_record.ts
@@ -6,7 +6,7 @@
 
 import type { EngineRecord } from "../../src/engines/index.ts";
 
-/** Makes a record of an upstream that stays. */
+/** Makes a record of an upstream that is not leaving. */
 export function makeEngineRecord(
   engineId: string,
   fields: Partial<EngineRecord> = {},
--- a/test/support/make_layered_model.ts
+++ b/test/support/make_layered_model.ts
@@ -6,7 +6,7 @@
 
 import type { LayeredModel } from "../../src/routes/index.ts";
 
-/** Makes a model of eight layers; by default all of it fits one kind of card. */
+/** Makes a model of eight layers; by default one card can hold all of them. */
 export function makeLayeredModel(
   fields: Partial<LayeredModel> = {},
 ): LayeredModel {
--- a/test/support/make_rate_limits.ts
+++ b/test/support/make_rate_limits.ts
@@ -1,5 +1,5 @@
 /**
- * Rate limits before a leader that isn't there.
+ * Rate limits of a gateway without a leader.
  *
  * @module
  */
@@ -10,7 +10,7 @@
   type RateLimits,
 } from "../../src/gateway/create_rate_limits.ts";
 
-/** Makes limits; by default no upstream is limited and no leader is asked. */
+/** Makes rate limits; by default no upstream is limited and no leader answers. */
 export function makeRateLimits(
   options: Partial<CreateRateLimitsOptions> = {},
 ): RateLimits {
--- a/test/support/make_route.ts
+++ b/test/support/make_route.ts
@@ -1,6 +1,6 @@
 import type { Route } from "../../src/routes/index.ts";
 
-/** Makes a route to service `s` under `a.example/x/` that may run once. */
+/** Makes a route `a.example/x/` to service `s` whose requests must run at most once. */
 export function makeRoute(fields: Partial<Route> = {}): Route {
   return {
     name: "r",
--- a/test/support/open_link.ts
+++ b/test/support/open_link.ts
@@ -1,5 +1,5 @@
 /**
- * A gateway's session without the gateway.
+ * A gateway's session with the leader, without the gateway itself.
  *
  * @module
  */
@@ -10,7 +10,7 @@
   type FleetLink,
 } from "../../src/gateway/create_fleet_link.ts";
 
-/** Opens a session of a gateway that has nothing to tell. */
+/** Opens a session of a gateway that has nothing to report. */
 export function openLink(
   options:
     & Pick<CreateFleetLinkOptions, "getSeedAddresses">
--- a/test/support/run_config_soak.ts
+++ b/test/support/run_config_soak.ts
@@ -1,6 +1,7 @@
 /**
- * A fleet whose operators change the configuration at random, beside the loss of a
- * leader and gateways that come and go: whether what was acknowledged holds.
+ * Soak test of configuration changes: operators change the configuration at random
+ * while gateways are replaced and the leader may stop. Checks that acknowledged
+ * versions are kept and applied.
  *
  * @module
  */
@@ -16,60 +17,61 @@
 import type { TestFleet, TestGateway } from "./fleet.ts";
 import { listInvalidConfigs, makeAddedRoute } from "./make_config.ts";
 
-/** What a soak plays. */
+/** Options of {@link runConfigSoak}. */
 export interface RunConfigSoakOptions {
   readonly seed: number;
-  /** Ms for which operators change the configuration. */
+  /** Ms during which operators change the configuration. */
   readonly lengthMs: number;
 }
 
-/** What came of a soak. */
+/** Counts of one run. */
 export interface ConfigSoakReport {
   readonly seed: number;
-  /** Versions that were acknowledged. */
+  /** Acknowledged versions. */
   readonly acknowledged: number;
-  /** Routes of the last version. */
+  /** Number of routes in the last version. */
   readonly routes: number;
-  /** Invalid configurations that were sent, and of those the acknowledged. */
+  /** Invalid configurations sent, and how many of them were acknowledged. */
   readonly invalid: number;
   readonly takenInvalid: number;
-  /** Reads, and gateways, that came back to an older version. */
+  /** Times that a read or a gateway went back to an older version. */
   readonly reverted: number;
-  /** Documents that were read under a version and never sent so, or two under one. */
+  /** Reads of a document that was never sent, or of two documents of one version. */
   readonly foreign: number;
-  /** Requests on routes of the last version that were not served, and the reverse. */
+  /** Requests not served on routes of the last version, or served on removed ones. */
   readonly misrouted: number;
 }
 
-/** Ms between two looks at the versions of gateways. */
-const LOOK_INTERVAL_MS = 40;
+/** Ms between two checks of the gateways' versions. */
+const POLL_INTERVAL_MS = 40;
 
-/** Ms for a control process to answer an operator. */
+/** Time limit, in ms, for a control process to answer an operator. */
 const OPERATOR_TIMEOUT_MS = 1_000;
 
-/** Routes that are asked for at each gateway in the end. */
-const ASKED_ROUTES = 4;
+/** Number of present and of removed routes that are requested at each gateway. */
+const CHECKED_ROUTES = 4;
 
-/** Actors that draw by chance. */
-const ACTORS = 7;
+/** Number of actors that draw random numbers. */
+const ACTOR_COUNT = 7;
 
 /**
- * Plays one seed.
+ * Runs the soak test with one seed.
  *
- * @param options - The seed and the length.
- * @returns What came of it.
- * @throws {Error} When the fleet does not begin to serve, or gateways don't come to
- * hold the last version.
+ * @param options - The seed and the duration.
+ * @returns The counts of the run.
+ * @throws {Error} When the fleet does not start serving, or the gateways do not reach
+ * the last version.
  * @example
  * const report = await runConfigSoak({ seed: 1, lengthMs: 10_000 });
  */
 export async function runConfigSoak(
   { seed, lengthMs }: RunConfigSoakOptions,
 ): Promise<ConfigSoakReport> {
-  const drawFor = (actor: number) => createRandomSource(seed * ACTORS + actor);
+  const createRandomFor = (actor: number) =>
+    createRandomSource(seed * ACTOR_COUNT + actor);
   await using fleet = await startServing({ gateways: 4 });
-  const untilMs = performance.now() + lengthMs;
-  const isOver = () => performance.now() >= untilMs;
+  const endMs = performance.now() + lengthMs;
+  const isOver = () => performance.now() >= endMs;
   const sent = new Map<number, Set<string>>();
   const read = new Map<number, string>();
   const tally = {
@@ -84,9 +86,9 @@
   let newestAcknowledged = 1;
   let added: readonly number[] = [];
   let nextRoute = 0;
-  noteSent(1, JSON.stringify(makeWireConfig(1)));
+  recordSent(1, JSON.stringify(makeWireConfig(1)));
 
-  function noteSent(version: number, text: string): void {
+  function recordSent(version: number, text: string): void {
     const texts = sent.get(version) ?? new Set<string>();
     sent.set(version, texts.add(text));
   }
@@ -106,40 +108,40 @@
     return false;
   }
 
-  async function change(random: RandomSource): Promise<void> {
+  async function sendChange(random: RandomSource): Promise<void> {
     newestSent += random.integer(1, 4);
     const version = newestSent;
-    const growth = random.chance(0.15) ? random.integer(200, 600) : 1;
-    const kept = random.chance(0.2) ? added.slice(growth) : added;
-    const fresh = Array.from({ length: growth }, () => nextRoute++);
-    const routes = [...kept, ...fresh];
+    const addedCount = random.chance(0.15) ? random.integer(200, 600) : 1;
+    const kept = random.chance(0.2) ? added.slice(addedCount) : added;
+    const addedNow = Array.from({ length: addedCount }, () => nextRoute++);
+    const routes = [...kept, ...addedNow];
     added = routes;
     const text = makeDocument(version, routes);
-    noteSent(version, text);
-    if (random.chance(0.2)) race(version, routes, random);
+    recordSent(version, text);
+    if (random.chance(0.2)) sendCompetingDocument(version, routes, random);
     if (!await put(text, random)) return;
     tally.acknowledged += 1;
     newestAcknowledged = Math.max(newestAcknowledged, version);
   }
 
-  // Another operator sends something else under the same version.
-  function race(
+  // Another operator sends a different document with the same version.
+  function sendCompetingDocument(
     version: number,
     routes: readonly number[],
     random: RandomSource,
   ): void {
     const text = makeDocument(version, [...routes, nextRoute++]);
-    noteSent(version, text);
+    recordSent(version, text);
     void put(text, random);
   }
 
-  async function operate(random: RandomSource): Promise<void> {
+  async function runOperator(random: RandomSource): Promise<void> {
     while (!isOver()) {
-      const inStorm = random.chance(0.2) ? random.integer(5, 15) : 1;
+      const burstSize = random.chance(0.2) ? random.integer(5, 15) : 1;
       const changes: Promise<void>[] = [];
-      for (let at = 0; at < inStorm && !isOver(); at++) {
-        changes.push(change(random));
-        if (inStorm > 1) await sleep(80);
+      for (let at = 0; at < burstSize && !isOver(); at++) {
+        changes.push(sendChange(random));
+        if (burstSize > 1) await sleep(80);
       }
       await Promise.all(changes);
       await sleep(random.integer(50, 600));
@@ -157,7 +159,7 @@
     }
   }
 
-  function noteRead(text: string, atLeast: number): number {
+  function recordRead(text: string, atLeast: number): number {
     const { version } = JSON.parse(text) as { version: number };
     const isSame = (read.get(version) ?? text) === text;
     if (!isSame || !sent.get(version)?.has(text)) tally.foreign += 1;
@@ -166,29 +168,29 @@
     return version;
   }
 
-  async function readBack(random: RandomSource): Promise<void> {
+  async function checkReads(random: RandomSource): Promise<void> {
     while (!isOver()) {
       const atLeast = newestAcknowledged;
       const text = await readFrom(fleet, random);
-      if (text !== undefined) noteRead(text, atLeast);
+      if (text !== undefined) recordRead(text, atLeast);
       await sleep(random.integer(20, 200));
     }
   }
 
   async function watchGateways(): Promise<void> {
-    const held = new Map<TestGateway, number>();
+    const lastVersions = new Map<TestGateway, number>();
     while (!isOver()) {
       for (const one of fleet.gateways) {
         const version = one.gateway.getVersion();
-        if (version < (held.get(one) ?? -1)) tally.reverted += 1;
+        if (version < (lastVersions.get(one) ?? -1)) tally.reverted += 1;
         if (version >= 0 && !sent.has(version)) tally.foreign += 1;
-        held.set(one, version);
+        lastVersions.set(one, version);
       }
-      await sleep(LOOK_INTERVAL_MS);
+      await sleep(POLL_INTERVAL_MS);
     }
   }
 
-  async function disturb(random: RandomSource): Promise<void> {
+  async function replaceGateways(random: RandomSource): Promise<void> {
     while (!isOver()) {
       await sleep(random.integer(800, 2_000));
       const [oldest] = fleet.gateways.splice(0, 1);
@@ -196,8 +198,9 @@
     }
   }
 
-  // Late: with a voter short the next leader takes no configuration for a while.
-  async function loseLeader(random: RandomSource): Promise<void> {
+  // Late in the run, because the next leader has one voter less and accepts no
+  // configuration for a while.
+  async function maybeStopLeader(random: RandomSource): Promise<void> {
     await sleep(lengthMs * (0.6 + 0.3 * random.number()));
     if (random.chance(0.7)) await stopLeader(fleet);
   }
@@ -205,44 +208,44 @@
   async function checkRoutes(text: string): Promise<void> {
     const { routes } = JSON.parse(text) as { routes: { pathPrefix: string }[] };
     const prefixes = routes.map(({ pathPrefix }) => pathPrefix);
-    const asked = prefixes.filter((prefix) => prefix.startsWith("/added-"))
-      .slice(-ASKED_ROUTES);
-    const dropped = Array.from(
+    const present = prefixes.filter((prefix) => prefix.startsWith("/added-"))
+      .slice(-CHECKED_ROUTES);
+    const removed = Array.from(
       { length: nextRoute },
       (_, at) => makeAddedRoute(at).pathPrefix,
     )
-      .filter((prefix) => !prefixes.includes(prefix)).slice(0, ASKED_ROUTES);
+      .filter((prefix) => !prefixes.includes(prefix)).slice(0, CHECKED_ROUTES);
     for (const { address } of fleet.gateways) {
-      for (const prefix of [...asked, ...dropped]) {
+      for (const prefix of [...present, ...removed]) {
         const { status } = await call(address, { path: `${prefix}1` });
         const isServed = status === 200;
-        if (isServed !== asked.includes(prefix)) tally.misrouted += 1;
+        if (isServed !== present.includes(prefix)) tally.misrouted += 1;
       }
     }
   }
 
   await Promise.all([
-    operate(drawFor(0)),
-    operate(drawFor(1)),
-    sendInvalid(drawFor(2)),
-    readBack(drawFor(3)),
+    runOperator(createRandomFor(0)),
+    runOperator(createRandomFor(1)),
+    sendInvalid(createRandomFor(2)),
+    checkReads(createRandomFor(3)),
     watchGateways(),
-    disturb(drawFor(4)),
-    loseLeader(drawFor(5)),
+    replaceGateways(createRandomFor(4)),
+    maybeStopLeader(createRandomFor(5)),
   ]);
   let last = "";
-  await until("the last version is read", async () => {
-    last = await readFrom(fleet, drawFor(6)) ?? "";
+  await until("the last version can be read", async () => {
+    last = await readFrom(fleet, createRandomFor(6)) ?? "";
     return last !== "";
   });
-  const version = noteRead(last, newestAcknowledged);
+  const version = recordRead(last, newestAcknowledged);
   await fleet.settle(version);
   await checkRoutes(last);
   const { routes } = JSON.parse(last) as { routes: object[] };
   return { seed, routes: routes.length, ...tally };
 }
 
-/** A control process's answer to an operator. */
+/** The answer of a control process to an operator. */
 interface OperatorAnswer {
   readonly status: number;
   readonly text: string;
@@ -253,7 +256,11 @@
   { text, random }: { readonly text: string; readonly random: RandomSource },
 ): Promise<number | undefined> {
   const path = "/api/config/put";
-  const answer = await ask(fleet, random, { path, method: "POST", body: text });
+  const answer = await callControl(fleet, random, {
+    path,
+    method: "POST",
+    body: text,
+  });
   return answer?.status;
 }
 
@@ -261,12 +268,13 @@
   fleet: TestFleet,
   random: RandomSource,
 ): Promise<string | undefined> {
-  const answer = await ask(fleet, random, { path: "/api/config/get" });
+  const answer = await callControl(fleet, random, { path: "/api/config/get" });
   return answer?.status === 200 ? answer.text : undefined;
 }
 
-// Undefined where the control process stops or is late: nothing is known then.
-async function ask(
+// Undefined if the control process stops or exceeds the time limit: the outcome is
+// unknown then.
+async function callControl(
   fleet: TestFleet,
   random: RandomSource,
   { path, ...options }: {
--- a/test/support/run_crash_soak.ts
+++ b/test/support/run_crash_soak.ts
@@ -1,6 +1,7 @@
 /**
- * A fleet under random troubles while some requests end whoever runs them: who is
- * held back, how many engines end, what the others get.
+ * Soak test of the quarantine: some requests crash every engine that runs them, under
+ * random faults. Checks which requests are held back, how many engines crash, and
+ * that other requests are answered correctly.
  *
  * @module
  */
@@ -16,50 +17,50 @@
   stopLeader,
 } from "./fleet.ts";
 
-/** What a soak plays. */
+/** Options of {@link runCrashSoak}. */
 export interface RunCrashSoakOptions {
   readonly seed: number;
-  /** Ms for which callers ask. */
+  /** Ms during which callers send requests. */
   readonly lengthMs: number;
 }
 
-/** What came of a soak. */
+/** Counts of one run. */
 export interface CrashSoakReport {
   readonly seed: number;
-  /** Engines that ended under each bad request, by its body. */
+  /** Number of engine crashes by the body of the crashing request. */
   readonly endsByBody: Readonly<Record<string, number>>;
-  /** Those of them that ended when all had to know of three ends, the most by body. */
+  /** Crashes after three crashes had to be known to all; the highest of all bodies. */
   readonly lateEnds: number;
   readonly asked: number;
   readonly served: number;
-  /** Requests that were convicted though they end nobody. */
+  /** Harmless requests that were convicted. */
   readonly wronglyHeld: number;
-  /** Tries of requests that end nobody which had no turn to be tried in time. */
+  /** Harmless requests that waited for a trial until their deadline. */
   readonly awaitedTrial: number;
-  /** Answers that were given as whole and are not. */
+  /** Answers with status 200 that are incomplete or wrong. */
   readonly spoilt: number;
-  /** Requests that must not be repeated and ran more than once. */
+  /** Runs beyond the first of requests that must run at most once. */
   readonly ranTwice: number;
 }
 
-/** Ms between two requests of the callers that mean no harm. */
-const ASK_INTERVAL_MS = 15;
+/** Ms between two harmless requests. */
+const REQUEST_INTERVAL_MS = 15;
 
-/** Ms after the third end at which all have to know: a new leader is found in less. */
-const NEWS_MS = 2_000;
+/** Ms after the third crash until all know of it; covers a leader change. */
+const PROPAGATION_MS = 2_000;
 
-/** Requests that end whoever runs them. */
-const BAD_REQUESTS = [
+/** Requests that crash every engine that runs them. */
+const CRASHING_REQUESTS = [
   { path: "/stream/1", body: "bad stream" },
   { path: "/safe/1", body: "bad call" },
 ];
 
 /**
- * Plays one seed.
+ * Runs the soak test with one seed.
  *
- * @param options - The seed and the length.
- * @returns What came of it.
- * @throws {Error} When the fleet does not begin to serve.
+ * @param options - The seed and the duration.
+ * @returns The counts of the run.
+ * @throws {Error} When the fleet does not start serving.
  * @example
  * const report = await runCrashSoak({ seed: 1, lengthMs: 5_000 });
  */
@@ -72,11 +73,11 @@
   for (let at = 0; at < 3; at++) await fleet.addPlain();
   const all = [...fleet.engines, ...fleet.plain];
   for (const { fault } of all) {
-    fault.crashesOnBodies = BAD_REQUESTS.map(({ body }) => body);
+    fault.crashesOnBodies = CRASHING_REQUESTS.map(({ body }) => body);
     fault.restartsAfterMs = 400 + Math.floor(random() * 800);
   }
-  const untilMs = performance.now() + lengthMs;
-  const isOver = () => performance.now() >= untilMs;
+  const endMs = performance.now() + lengthMs;
+  const isOver = () => performance.now() >= endMs;
   const tally = {
     asked: 0,
     served: 0,
@@ -90,11 +91,11 @@
     return fleet.gateways[at].address;
   }
 
-  async function askWell(at: number): Promise<void> {
+  async function sendHarmless(at: number): Promise<void> {
     const path = ["/stream/1", "/stream/2", "/safe/1", "/once/1"][at % 4];
     const body = at % 3 === 0 ? "asked by many" : `asked once: ${seed} ${at}`;
     tally.asked += 1;
-    const answer = await ask(chooseGateway(), { path, body });
+    const answer = await sendRequest(chooseGateway(), { path, body });
     if (answer === undefined) return;
     if (answer.text.includes("held_back")) tally.wronglyHeld += 1;
     if (answer.text.includes("awaits_trial")) tally.awaitedTrial += 1;
@@ -106,17 +107,19 @@
     if (answer.text !== whole) tally.spoilt += 1;
   }
 
-  async function askBadly(bad: typeof BAD_REQUESTS[number]): Promise<void> {
+  async function sendCrashing(
+    bad: typeof CRASHING_REQUESTS[number],
+  ): Promise<void> {
     while (!isOver()) {
       await sleep(100 + random() * 500);
       const copies = random() < 0.2 ? 3 : 1;
       await Promise.all(
-        Array.from({ length: copies }, () => ask(chooseGateway(), bad)),
+        Array.from({ length: copies }, () => sendRequest(chooseGateway(), bad)),
       );
     }
   }
 
-  async function disturb(): Promise<void> {
+  async function restartEngines(): Promise<void> {
     while (!isOver()) {
       await sleep(300 + random() * 1_200);
       const engine = all[Math.floor(random() * all.length)];
@@ -124,52 +127,52 @@
     }
   }
 
-  async function askOn(): Promise<void> {
+  async function sendHarmlessRequests(): Promise<void> {
     const running: Promise<void>[] = [];
     for (let at = 0; !isOver(); at++) {
-      running.push(askWell(at));
-      await sleep(ASK_INTERVAL_MS);
+      running.push(sendHarmless(at));
+      await sleep(REQUEST_INTERVAL_MS);
     }
     await Promise.all(running);
   }
 
-  async function loseLeader(): Promise<void> {
+  async function maybeStopLeader(): Promise<void> {
     await sleep(lengthMs * (0.3 + 0.4 * random()));
     if (random() < 0.5) await stopLeader(fleet);
   }
 
   await Promise.all([
-    askOn(),
-    disturb(),
-    loseLeader(),
-    ...BAD_REQUESTS.map(askBadly),
+    sendHarmlessRequests(),
+    restartEngines(),
+    maybeStopLeader(),
+    ...CRASHING_REQUESTS.map(sendCrashing),
   ]);
   return {
     seed,
     ...tally,
-    ...countEnds(all),
-    ranTwice: countRepeats(fleet.plain),
+    ...countCrashes(all),
+    ranTwice: countRepeatedRuns(fleet.plain),
   };
 }
 
-async function ask(
+async function sendRequest(
   address: string,
   options: { path: string; body: string },
 ): Promise<(CallAnswer & { requestId: string }) | undefined> {
-  // A connection that ends early says so: nothing is counted as an answer.
+  // A connection that breaks is a visible failure: it isn't counted as an answer.
   return await call(address, { ...options, deadlineMs: 2_000 })
     .catch(() => undefined);
 }
 
-function countEnds(
+function countCrashes(
   engines: readonly LayerEngine[],
 ): Pick<CrashSoakReport, "endsByBody" | "lateEnds"> {
   const crashes = engines.flatMap((engine) => engine.crashes);
-  const perBody = BAD_REQUESTS.map(({ body }) => {
+  const perBody = CRASHING_REQUESTS.map(({ body }) => {
     const timesMs = crashes.filter((one) => one.body === body)
       .map(({ atMs }) => atMs).sort((a, b) => a - b);
-    const knownMs = (timesMs[2] ?? Infinity) + NEWS_MS;
-    const late = timesMs.filter((atMs) => atMs > knownMs).length;
+    const propagatedMs = (timesMs[2] ?? Infinity) + PROPAGATION_MS;
+    const late = timesMs.filter((atMs) => atMs > propagatedMs).length;
     return { body, count: timesMs.length, late };
   });
   return {
@@ -180,7 +183,7 @@
   };
 }
 
-function countRepeats(engines: readonly LayerEngine[]): number {
+function countRepeatedRuns(engines: readonly LayerEngine[]): number {
   const ids = engines.flatMap((engine) => engine.runs)
     .filter((run) => run.target.startsWith("/once/"))
     .map((run) => run.requestId);
--- a/test/support/run_limit_soak.ts
+++ b/test/support/run_limit_soak.ts
@@ -1,6 +1,6 @@
 /**
- * A fleet under random troubles while engines name rate limits, change them and drop
- * them: how much reaches them all the same.
+ * Soak test of rate limits: engines announce, change and withdraw limits under random
+ * faults. Checks how many requests reach them in each window.
  *
  * @module
  */
@@ -10,58 +10,58 @@
 import type { EngineArrival, LayerEngine } from "../../standins/index.ts";
 import { startServing, stopLeader, type TestFleet } from "./fleet.ts";
 import {
-  askUntil,
-  countRepeats,
+  countRepeatedRuns,
   freezeEngine,
   listRequests,
+  sendRequestsUntil,
 } from "./soak_callers.ts";
 
-/** What a soak plays. */
+/** Options of {@link runLimitSoak}. */
 export interface RunLimitSoakOptions {
   readonly seed: number;
-  /** Ms for which callers ask. */
+  /** Ms during which callers send requests. */
   readonly lengthMs: number;
 }
 
-/** What came of a soak. */
+/** Counts of one run. */
 export interface LimitSoakReport {
   readonly seed: number;
-  /** Windows of four seconds of an engine's limit that were judged. */
+  /** Number of windows of four seconds that were checked against a limit. */
   readonly windows: number;
-  /** The most requests in one of them, as a share of what may come. */
+  /** The most requests in one window, as a share of the allowed number. */
   readonly worstShare: number;
-  /** Requests that reached engines which named a limit. */
+  /** Requests that reached an engine while it announced a limit. */
   readonly limitedRequests: number;
   readonly asked: number;
   readonly served: number;
   readonly refused: number;
-  /** Answers that were given as whole and are not. */
+  /** Answers with status 200 that are incomplete or wrong. */
   readonly spoilt: number;
-  /** Requests that must not be repeated and ran more than once. */
+  /** Runs beyond the first of requests that must run at most once. */
   readonly ranTwice: number;
 }
 
-/** Ms of a window. */
+/** Length of a window, in ms. */
 const WINDOW_MS = 4_000;
 
-/** Ms that all gateways have from the first answer that named a limit. */
-const NEWS_MS = 3_000;
+/** Ms after the first answer with a limit until all gateways must keep it. */
+const PROPAGATION_MS = 3_000;
 
-/** Ms that a change of a limit takes to reach all gateways. */
-const CHANGE_MS = 500;
+/** Ms that a changed limit takes to reach all gateways. */
+const CHANGE_PROPAGATION_MS = 500;
 
-/** Times what a limit allows that may come in a window, and requests besides. */
+/** Requests allowed in a window: a multiple of the limit, and some more. */
 const ALLOWED_FACTOR = 1.5;
-const ALLOWED_BESIDES = 5;
+const ALLOWED_EXTRA = 5;
 
-/** Ms for which an engine names no limit at a time, at most. */
-const MOST_UNLIMITED_MS = 8_000;
+/** Longest time, in ms, for which an engine announces no limit. */
+const MAX_UNLIMITED_MS = 8_000;
 
-/** Actors that draw by chance. */
-const ACTORS = 5;
+/** Number of actors that draw random numbers. */
+const ACTOR_COUNT = 5;
 
-/** Lines of the field, and the requests a second that they allow. */
-const NAMED: readonly (readonly [readonly string[], number])[] = [
+/** Lines of the header field, and the requests per second that they allow. */
+const ANNOUNCED_LIMITS: readonly (readonly [readonly string[], number])[] = [
   [["4.6"], 4.6],
   [["2"], 2],
   [["0.5"], 0.5],
@@ -70,64 +70,65 @@
 ];
 
 const LIMITS_PER_S = new Map(
-  NAMED.map(([lines, limitPerS]) => [lines.join(), limitPerS]),
+  ANNOUNCED_LIMITS.map(([lines, limitPerS]) => [lines.join(), limitPerS]),
 );
 
-/** A value that an engine names from a time on; Infinity where it names none. */
-interface NamedLimit {
+/** The limit that an engine announces from a time on; Infinity for none. */
+interface LimitChange {
   readonly atMs: number;
   readonly limitPerS: number;
 }
 
 /**
- * Plays one seed.
+ * Runs the soak test with one seed.
  *
- * @param options - The seed and the length.
- * @returns What came of it.
- * @throws {Error} When the fleet does not begin to serve.
+ * @param options - The seed and the duration.
+ * @returns The counts of the run.
+ * @throws {Error} When the fleet does not start serving.
  * @example
  * const report = await runLimitSoak({ seed: 1, lengthMs: 15_000 });
  */
 export async function runLimitSoak(
   { seed, lengthMs }: RunLimitSoakOptions,
 ): Promise<LimitSoakReport> {
-  // Each actor draws for itself: what one does hangs on the seed, not on when others
-  // come to draw.
-  const drawFor = (actor: number) => createRandomSource(seed * ACTORS + actor);
+  // Each actor has its own random source, so that its draws depend on the seed only
+  // and not on the timing of the others.
+  const createRandomFor = (actor: number) =>
+    createRandomSource(seed * ACTOR_COUNT + actor);
   await using fleet = await startServing({ gateways: 4 });
   const all = [...fleet.engines, ...fleet.plain];
-  const restarts = drawFor(0);
+  const restarts = createRandomFor(0);
   for (const { fault } of all) {
     fault.restartsAfterMs = restarts.integer(300, 900);
   }
-  const history = new Map(all.map((engine) => [engine, [] as NamedLimit[]]));
-  const untilMs = performance.now() + lengthMs;
-  const isOver = () => performance.now() >= untilMs;
+  const history = new Map(all.map((engine) => [engine, [] as LimitChange[]]));
+  const runUntilMs = performance.now() + lengthMs;
+  const isOver = () => performance.now() >= runUntilMs;
   const tally = { asked: 0, served: 0, refused: 0, spoilt: 0 };
 
-  function name(engine: LayerEngine, lines: readonly string[] | undefined) {
+  function announce(engine: LayerEngine, lines: readonly string[] | undefined) {
     engine.fault.namesLimit = lines;
     const limitPerS = LIMITS_PER_S.get(lines?.join() ?? "") ?? Infinity;
     history.get(engine)?.push({ atMs: performance.now(), limitPerS });
   }
 
-  // Each engine for itself: limited for a while, by one value after the other.
-  async function limit(engine: LayerEngine, at: number): Promise<void> {
+  // Each engine independently announces a series of limits for a while, then none.
+  async function varyLimit(engine: LayerEngine, at: number): Promise<void> {
     const random = createRandomSource(seed * 1_000 + at);
     engine.fault.namesLimitToAll = random.chance(0.5);
     while (!isOver()) {
-      await sleep(random.integer(0, MOST_UNLIMITED_MS));
+      await sleep(random.integer(0, MAX_UNLIMITED_MS));
       const endMs = performance.now() + random.integer(7_500, 11_000);
       while (!isOver() && performance.now() < endMs) {
-        name(engine, random.pick(NAMED)[0]);
+        announce(engine, random.pick(ANNOUNCED_LIMITS)[0]);
         await sleep(random.integer(2_000, 6_000));
       }
-      name(engine, undefined);
+      announce(engine, undefined);
     }
   }
 
-  async function disturb(): Promise<void> {
-    const random = drawFor(2);
+  async function injectFaults(): Promise<void> {
+    const random = createRandomFor(2);
     while (!isOver()) {
       await sleep(random.integer(1_500, 4_000));
       const engine = random.pick(all);
@@ -138,16 +139,26 @@
     }
   }
 
-  async function loseLeader(): Promise<void> {
-    const random = drawFor(3);
+  async function maybeStopLeader(): Promise<void> {
+    const random = createRandomFor(3);
     await sleep(lengthMs * (0.3 + 0.4 * random.number()));
     if (random.chance(0.7)) await stopLeader(fleet);
   }
 
-  const callers = askUntil({ fleet, random: drawFor(1), isOver, tally });
-  await Promise.all([callers, disturb(), loseLeader(), ...all.map(limit)]);
+  const callers = sendRequestsUntil({
+    fleet,
+    random: createRandomFor(1),
+    isOver,
+    tally,
+  });
+  await Promise.all([
+    callers,
+    injectFaults(),
+    maybeStopLeader(),
+    ...all.map(varyLimit),
+  ]);
   const windows = all.flatMap((engine) =>
-    judgeWindows(engine, history.get(engine) ?? [])
+    getWindowShares(engine, history.get(engine) ?? [])
   );
   const requests = all.flatMap(listRequests);
   return {
@@ -156,7 +167,7 @@
     worstShare: Math.max(0, ...windows),
     limitedRequests: requests.filter(({ namedLimit }) => namedLimit).length,
     ...tally,
-    ranTwice: countRepeats(fleet.plain),
+    ranTwice: countRepeatedRuns(fleet.plain),
   };
 }
 
@@ -165,28 +176,28 @@
   await Promise.all([fleet.addGateway(), oldest.gateway.stop()]);
 }
 
-// Requests in each window that lies in one run of an engine and one time of being
-// limited, as a share of what may come.
-function judgeWindows(
+// Requests in each window, as a share of the allowed number; only windows within one
+// incarnation and one limited period of the engine.
+function getWindowShares(
   engine: LayerEngine,
-  history: readonly NamedLimit[],
+  history: readonly LimitChange[],
 ): number[] {
   const requests = listRequests(engine);
   return requests.flatMap(({ atMs: fromMs, bornMs }) => {
     const toMs = fromMs + WINDOW_MS;
-    const first = findFirstNamed(requests, { fromMs, bornMs });
-    if (first === undefined || first + NEWS_MS > fromMs) return [];
-    const allowed = sumLimits(history, { fromMs, toMs });
+    const first = findLimitStart(requests, { fromMs, bornMs });
+    if (first === undefined || first + PROPAGATION_MS > fromMs) return [];
+    const allowed = sumAllowed(history, { fromMs, toMs });
     if (allowed === Infinity) return [];
     const count = requests.filter((one) =>
       one.bornMs === bornMs && one.atMs >= fromMs && one.atMs < toMs
     ).length;
-    return [count / (ALLOWED_FACTOR * allowed + ALLOWED_BESIDES)];
+    return [count / (ALLOWED_FACTOR * allowed + ALLOWED_EXTRA)];
   });
 }
 
-// When the run first named the limit under which it is at a time.
-function findFirstNamed(
+// When the incarnation began the limited period that includes a time.
+function findLimitStart(
   requests: readonly EngineArrival[],
   { fromMs, bornMs }: { readonly fromMs: number; readonly bornMs: number },
 ): number | undefined {
@@ -197,9 +208,10 @@
   return before[unlimited + 1]?.atMs;
 }
 
-// Requests that the limits of a time allow, each for a moment longer than it is named.
-function sumLimits(
-  history: readonly NamedLimit[],
+// Requests that the limits allow in a window; each limit counts for
+// CHANGE_PROPAGATION_MS longer than it is announced.
+function sumAllowed(
+  history: readonly LimitChange[],
   { fromMs, toMs }: { readonly fromMs: number; readonly toMs: number },
 ): number {
   const stepMs = 50;
@@ -207,7 +219,7 @@
   for (let atMs = fromMs; atMs < toMs; atMs += stepMs) {
     const named = history.filter((one, at) => {
       const endMs = history[at + 1]?.atMs ?? Infinity;
-      return one.atMs <= atMs && endMs > atMs - CHANGE_MS;
+      return one.atMs <= atMs && endMs > atMs - CHANGE_PROPAGATION_MS;
     });
     const limitPerS = named.length === 0
       ? Infinity
--- a/test/support/run_program.ts
+++ b/test/support/run_program.ts
@@ -1,5 +1,5 @@
 /**
- * Runs the programs as their users do.
+ * Runs the programs of `src/bin/` as child processes.
  *
  * @module
  */
@@ -11,13 +11,13 @@
 
 const BIN = fileURLToPath(new URL("../../src/bin/", import.meta.url));
 
-/** A program that has ended. */
+/** Result of a program that has exited. */
 export interface EndedProgram {
   readonly code: number;
   readonly output: string;
 }
 
-/** Runs a program until it ends. */
+/** Runs a program until it exits. */
 export function runProgram(
   program: string,
   args: readonly string[],
--- a/test/support/run_rest_soak.ts
+++ b/test/support/run_rest_soak.ts
@@ -1,6 +1,7 @@
 /**
- * A fleet under random troubles while engines turn requests away, ask for rest and
- * say that they leave: what reaches them all the same.
+ * Soak test of back-off and leaving: engines reject requests with `Retry-After` and
+ * announce that they leave, under random faults. Checks which requests still reach
+ * them.
  *
  * @module
  */
@@ -10,61 +11,61 @@
 import type { EngineArrival, LayerEngine } from "../../standins/index.ts";
 import { startServing, stopLeader } from "./fleet.ts";
 import {
-  askUntil,
-  countRepeats,
+  countRepeatedRuns,
   freezeEngine,
   listRequests,
+  sendRequestsUntil,
 } from "./soak_callers.ts";
 
-/** What a soak plays. */
+/** Options of {@link runRestSoak}. */
 export interface RunRestSoakOptions {
   readonly seed: number;
-  /** Ms for which callers ask. */
+  /** Ms during which callers send requests. */
   readonly lengthMs: number;
 }
 
-/** What came of a soak. */
+/** Counts of one run. */
 export interface RestSoakReport {
   readonly seed: number;
-  /** Rests that engines asked gateways for. */
+  /** Back-off periods that engines requested from gateways. */
   readonly rests: number;
-  /** The most requests of one gateway within one of them, half a second after it. */
+  /** The most requests of one gateway in such a period, after its first half second. */
   readonly worstRest: number;
-  /** Leaves that gateways heard in answers. */
+  /** Answers that told a gateway that the engine leaves. */
   readonly leaves: number;
-  /** Requests that a gateway sent to an engine two seconds after it had heard. */
+  /** Requests of a gateway later than two seconds after it received such an answer. */
   readonly lateAtHearer: number;
-  /** Requests of any gateway three seconds and more after one had heard. */
+  /** Requests of any gateway later than three seconds after the first such answer. */
   readonly lateAnywhere: number;
   readonly asked: number;
   readonly served: number;
   readonly refused: number;
-  /** Answers that were given as whole and are not. */
+  /** Answers with status 200 that are incomplete or wrong. */
   readonly spoilt: number;
-  /** Requests that must not be repeated and ran more than once. */
+  /** Runs beyond the first of requests that must run at most once. */
   readonly ranTwice: number;
 }
 
-/** Requests of one gateway within a rest that may come, by the stated aim. */
+/** Requests that one gateway may send during a back-off, as the aim states. */
 export const MOST_WITHIN_REST = 2;
 
-/** Ms after a rest was asked for in which requests may be on their way. */
-const ON_THE_WAY_MS = 500;
+/** Ms after `Retry-After` was sent in which requests may still be in flight. */
+const IN_FLIGHT_MS = 500;
 
-/** Ms that a gateway has from the answer that told of a leave. */
-const DRAIN_MS = 2_000;
+/** Ms in which a gateway must stop sending after an answer that announces leaving. */
+const STOP_SENDING_MS = 2_000;
 
-/** Ms that all gateways have from the first answer that told of it. */
-const NEWS_MS = 3_000;
+/** Ms in which all gateways must stop sending after the first such answer. */
+const PROPAGATION_MS = 3_000;
 
-/** Actors that draw by chance. */
-const ACTORS = 6;
+/** Number of actors that draw random numbers. */
+const ACTOR_COUNT = 6;
 
-/** Share of engines that turn requests away at a time. */
-const PRESSED_SHARE = 1 / 3;
+/** Share of engines that reject requests at a time. */
+const OVERLOADED_SHARE = 1 / 3;
 
-/** Lines of `Retry-After`, and the ms for which they count. */
-const WISHES: readonly (readonly [readonly string[], number])[] = [
+/** Lines of `Retry-After`, and the back-off in ms that they request. */
+const RETRY_AFTER_VALUES: readonly (readonly [readonly string[], number])[] = [
   [["1.2"], 1_200],
   [["0.7"], 700],
   [["2"], 2_000],
@@ -74,59 +75,62 @@
   [["soon"], 0],
 ];
 
-const RESTS_MS = new Map(WISHES.map(([lines, ms]) => [lines.join(), ms]));
+const BACK_OFFS_MS = new Map(
+  RETRY_AFTER_VALUES.map(([lines, ms]) => [lines.join(), ms]),
+);
 
 /**
- * Plays one seed.
+ * Runs the soak test with one seed.
  *
- * @param options - The seed and the length.
- * @returns What came of it.
- * @throws {Error} When the fleet does not begin to serve.
+ * @param options - The seed and the duration.
+ * @returns The counts of the run.
+ * @throws {Error} When the fleet does not start serving.
  * @example
  * const report = await runRestSoak({ seed: 1, lengthMs: 5_000 });
  */
 export async function runRestSoak(
   { seed, lengthMs }: RunRestSoakOptions,
 ): Promise<RestSoakReport> {
-  // Each actor draws for itself: what one does hangs on the seed, not on when others
-  // come to draw.
-  const drawFor = (actor: number) => createRandomSource(seed * ACTORS + actor);
+  // Each actor has its own random source, so that its draws depend on the seed only
+  // and not on the timing of the others.
+  const createRandomFor = (actor: number) =>
+    createRandomSource(seed * ACTOR_COUNT + actor);
   await using fleet = await startServing({ gateways: 3 });
   for (const place of ["p1", "p1", "p2", "p2"]) await fleet.addEngine(place);
   for (let at = 0; at < 3; at++) await fleet.addPlain();
   const all = [...fleet.engines, ...fleet.plain];
-  const restarts = drawFor(0);
+  const restarts = createRandomFor(0);
   for (const { fault } of all) {
     fault.restartsAfterMs = restarts.integer(300, 900);
   }
-  const untilMs = performance.now() + lengthMs;
-  const isOver = () => performance.now() >= untilMs;
+  const endMs = performance.now() + lengthMs;
+  const isOver = () => performance.now() >= endMs;
   const tally = { asked: 0, served: 0, refused: 0, spoilt: 0 };
-  // A third of all engines at a time can't cope, for a moment or for longer.
-  async function press(): Promise<void> {
-    const random = drawFor(2);
+  // A third of all engines at a time is overloaded and rejects requests.
+  async function overloadEngines(): Promise<void> {
+    const random = createRandomFor(2);
     while (!isOver()) {
       for (const { fault } of all) {
-        const [lines] = random.pick(WISHES);
-        fault.asksForRest = random.chance(PRESSED_SHARE) ? lines : undefined;
+        const [lines] = random.pick(RETRY_AFTER_VALUES);
+        fault.asksForRest = random.chance(OVERLOADED_SHARE) ? lines : undefined;
       }
       await sleep(random.integer(300, 1_000));
     }
   }
 
-  // Whoever leaves goes on beating as if it stayed.
-  async function leave(): Promise<void> {
-    const random = drawFor(3);
-    const staying = [fleet.engines.slice(4), fleet.plain.slice(2)].flat();
-    for (const { fault } of staying) {
+  // Leaving engines go on sending heartbeats that don't announce it.
+  async function announceLeaving(): Promise<void> {
+    const random = createRandomFor(3);
+    const candidates = [fleet.engines.slice(4), fleet.plain.slice(2)].flat();
+    for (const { fault } of candidates) {
       if (isOver()) return;
-      await sleep(lengthMs / staying.length * random.number());
+      await sleep(lengthMs / candidates.length * random.number());
       fault.saysLeaving = true;
     }
   }
 
-  async function disturb(): Promise<void> {
-    const random = drawFor(4);
+  async function injectFaults(): Promise<void> {
+    const random = createRandomFor(4);
     while (!isOver()) {
       await sleep(random.integer(800, 2_300));
       const engine = random.pick(all);
@@ -136,20 +140,31 @@
     }
   }
 
-  async function loseLeader(): Promise<void> {
-    const random = drawFor(5);
+  async function maybeStopLeader(): Promise<void> {
+    const random = createRandomFor(5);
     await sleep(lengthMs * (0.3 + 0.4 * random.number()));
     if (random.chance(0.5)) await stopLeader(fleet);
   }
 
-  const callers = askUntil({ fleet, random: drawFor(1), isOver, tally });
-  await Promise.all([callers, press(), leave(), disturb(), loseLeader()]);
+  const callers = sendRequestsUntil({
+    fleet,
+    random: createRandomFor(1),
+    isOver,
+    tally,
+  });
+  await Promise.all([
+    callers,
+    overloadEngines(),
+    announceLeaving(),
+    injectFaults(),
+    maybeStopLeader(),
+  ]);
   return {
     seed,
     ...tally,
-    ...judgeRests(all),
-    ...judgeLeaves(all),
-    ranTwice: countRepeats(fleet.plain),
+    ...countWithinBackOffs(all),
+    ...countAfterLeaving(all),
+    ranTwice: countRepeatedRuns(fleet.plain),
   };
 }
 
@@ -157,16 +172,16 @@
   return a.requestId.split("-", 1)[0] === b.requestId.split("-", 1)[0];
 }
 
-// A rest is between one run of an engine and one gateway.
-function judgeRests(
+// A back-off holds between one incarnation of an engine and one gateway.
+function countWithinBackOffs(
   engines: readonly LayerEngine[],
 ): Pick<RestSoakReport, "rests" | "worstRest"> {
   const counts = engines.flatMap((engine) => {
     const requests = listRequests(engine);
     return requests.flatMap((asked) => {
-      const backOffMs = RESTS_MS.get(asked.askedForRest?.join() ?? "") ?? 0;
+      const backOffMs = BACK_OFFS_MS.get(asked.askedForRest?.join() ?? "") ?? 0;
       if (backOffMs === 0) return [];
-      const fromMs = asked.atMs + ON_THE_WAY_MS;
+      const fromMs = asked.atMs + IN_FLIGHT_MS;
       return requests.filter((one) =>
         one.atMs > fromMs && one.atMs < asked.atMs + backOffMs &&
         one.bornMs === asked.bornMs && isOfSameGateway(one, asked)
@@ -176,21 +191,25 @@
   return { rests: counts.length, worstRest: Math.max(0, ...counts) };
 }
 
-function judgeLeaves(
+function countAfterLeaving(
   engines: readonly LayerEngine[],
 ): Pick<RestSoakReport, "leaves" | "lateAtHearer" | "lateAnywhere"> {
   const result = { leaves: 0, lateAtHearer: 0, lateAnywhere: 0 };
   for (const engine of engines) {
     const requests = listRequests(engine);
-    const told = requests.filter(({ toldLeave }) => toldLeave);
-    result.leaves += told.length;
+    const announcements = requests.filter(({ toldLeave }) => toldLeave);
+    result.leaves += announcements.length;
     for (const one of requests) {
-      const sameRun = told.filter(({ bornMs }) => bornMs === one.bornMs);
-      const isLate = sameRun.some((other) =>
-        one.atMs > other.atMs + DRAIN_MS && isOfSameGateway(one, other)
+      const sameIncarnation = announcements.filter(({ bornMs }) =>
+        bornMs === one.bornMs
+      );
+      const isLate = sameIncarnation.some((other) =>
+        one.atMs > other.atMs + STOP_SENDING_MS && isOfSameGateway(one, other)
       );
       if (isLate) result.lateAtHearer += 1;
-      if (sameRun.some(({ atMs }) => one.atMs > atMs + NEWS_MS)) {
+      if (
+        sameIncarnation.some(({ atMs }) => one.atMs > atMs + PROPAGATION_MS)
+      ) {
         result.lateAnywhere += 1;
       }
     }
--- a/test/support/soak_callers.ts
+++ b/test/support/soak_callers.ts
@@ -1,5 +1,5 @@
 /**
- * Callers of a soak, and what soaks of engines share.
+ * Callers and helpers that the soak tests of engines share.
  *
  * @module
  */
@@ -9,40 +9,42 @@
 import type { EngineArrival, LayerEngine } from "../../standins/index.ts";
 import { call, expectStream, type TestFleet } from "./fleet.ts";
 
-/** What callers got. */
+/** Counts of requests and answers. */
 export interface CallTally {
   asked: number;
   served: number;
   refused: number;
-  /** Answers that were given as whole and are not. */
+  /** Answers with status 200 that are incomplete or wrong. */
   spoilt: number;
 }
 
 /** Ms between two requests of the callers. */
-const ASK_INTERVAL_MS = 12;
+const REQUEST_INTERVAL_MS = 12;
 
-/** Who is asked, for how long, and what counts the answers. */
-export interface AskUntilOptions {
+/** Options of {@link sendRequestsUntil}. */
+export interface SendRequestsOptions {
   readonly fleet: TestFleet;
   readonly random: RandomSource;
   readonly isOver: () => boolean;
   readonly tally: CallTally;
 }
 
-/** Asks gateways at random until it is over; ids begin with the gateway's number. */
-export async function askUntil(options: AskUntilOptions): Promise<void> {
+/** Sends requests to random gateways; ids begin with the gateway's number. */
+export async function sendRequestsUntil(
+  options: SendRequestsOptions,
+): Promise<void> {
   const { fleet, random, isOver, tally } = options;
   const running: Promise<void>[] = [];
   for (let at = 0; !isOver(); at++) {
     const gatewayAt = random.integer(0, fleet.gateways.length - 1);
     const { address } = fleet.gateways[gatewayAt];
-    running.push(ask({ at, address, idPrefix: `g${gatewayAt}`, tally }));
-    await sleep(ASK_INTERVAL_MS);
+    running.push(sendOne({ at, address, idPrefix: `g${gatewayAt}`, tally }));
+    await sleep(REQUEST_INTERVAL_MS);
   }
   await Promise.all(running);
 }
 
-async function ask(options: {
+async function sendOne(options: {
   readonly at: number;
   readonly address: string;
   readonly idPrefix: string;
@@ -62,7 +64,7 @@
   if (answer.text !== whole) tally.spoilt += 1;
 }
 
-/** Lets an engine take requests without answering for a while. */
+/** Makes an engine accept requests without answering for a while. */
 export async function freezeEngine(
   { fault }: LayerEngine,
   frozenMs: number,
@@ -77,8 +79,8 @@
   return arrivals.filter(({ type }) => type === "request");
 }
 
-/** Counts runs beyond the first of requests that must not be repeated. */
-export function countRepeats(engines: readonly LayerEngine[]): number {
+/** Counts runs beyond the first of requests that must run at most once. */
+export function countRepeatedRuns(engines: readonly LayerEngine[]): number {
   const ids = engines.flatMap((engine) => engine.runs)
     .filter((run) => run.target.startsWith("/once/"))
     .map((run) => run.requestId);
--- a/test/support/start_one_gateway.ts
+++ b/test/support/start_one_gateway.ts
@@ -1,5 +1,5 @@
 /**
- * One gateway before control processes of the test's own.
+ * A single gateway for tests that bring their own control processes.
  *
  * @module
  */
--- a/test/support/start_session_fleet.ts
+++ b/test/support/start_session_fleet.ts
@@ -1,5 +1,5 @@
 /**
- * Control processes before bare sessions of gateways, which keep what they are told.
+ * Control processes with sessions of gateways that record the messages they receive.
  *
  * @module
  */
@@ -21,31 +21,31 @@
 import { createGatewayList } from "../../src/gateway/create_gateway_list.ts";
 import type { Logger } from "../../src/logs/index.ts";
 import { createMetrics } from "../../src/metrics/index.ts";
-import type { BeatEnginesData } from "./beat_engines.ts";
+import type { HeartbeatThreadData } from "./beat_engines.ts";
 import { findSeeds } from "./find_seeds.ts";
 import { makeWireConfig } from "./fleet.ts";
 import { openLink } from "./open_link.ts";
 
-/** Ms between two beats of an engine. */
-const BEAT_MS = 500;
+/** Ms between two heartbeats of an engine. */
+const HEARTBEAT_INTERVAL_MS = 500;
 
-/** A gateway's session with what it was told. */
+/** A gateway's session with the messages it received. */
 export interface TestSession {
   readonly vm: string;
   readonly link: FleetLink;
-  /** VMs of all gateways, each time that it was told of them. */
+  /** VMs of all gateways, one list per message received. */
   readonly toldGateways: (readonly string[])[];
-  /** Requests in flight on the first engine, each time that it was told of them. */
+  /** Requests in flight on the first engine, one number per message received. */
   readonly toldRequests: number[];
-  /** Engines that it was told to be gone. */
+  /** Engines that were reported as gone. */
   readonly goneEngines: string[];
-  /** Times that a leader took it in. */
+  /** Number of welcomes from a leader. */
   welcomes: number;
 }
 
 /** Options of {@link SessionFleet.open}. */
 export interface OpenSessionOptions {
-  /** Ms for which it waits, having lost a leader, before it looks for the next. */
+  /** Delay, in ms, after the loss of a leader until it searches for the next one. */
   readonly returnMs?: number;
 }
 
@@ -61,14 +61,14 @@
 export interface StartSessionFleetOptions {
   readonly controls?: number;
   readonly engines?: number;
-  /** Takes the log lines of the control processes. */
+  /** Receives the log lines of the control processes. */
   readonly log?: Logger;
 }
 
-/** Ms of spread that a session chooses for each gateway that it is told there are. */
-const SPREAD_MS_PER_GATEWAY = 3;
+/** Ms by which a session spreads its reconnection, per gateway of the fleet. */
+const RECONNECT_SPREAD_MS = 3;
 
-/** Starts control processes and engines that beat; waits until one leads. */
+/** Starts control processes and engines with heartbeats; waits for a leader. */
 export async function startSessionFleet(
   options: StartSessionFleetOptions = {},
 ): Promise<SessionFleet> {
@@ -85,7 +85,7 @@
         dataFolder: join(folder, String(at)),
         isFirstStart: true,
         voters: controls,
-        beatIntervalMs: BEAT_MS,
+        beatIntervalMs: HEARTBEAT_INTERVAL_MS,
         repeats: { extra: 100, windowMs: 10_000 },
       }, {
         getSeeds: () => seeds,
@@ -102,20 +102,23 @@
   }
   const findLeader = () =>
     [...running].find((one) => one.getState().role === "leader");
-  await until("one leads", () => findLeader() !== undefined);
-  await until("a version is taken", async () => {
+  await until("a control process leads", () => findLeader() !== undefined);
+  await until("a configuration is accepted", async () => {
     const packed = packDocument(JSON.stringify(makeWireConfig(1)));
     const reply = await findLeader()?.call({ type: "putConfig", packed });
     return reply?.type === "done";
   });
 
-  const beating = new Worker(new URL("./beat_engines.js", import.meta.url), {
-    workerData: {
-      addresses: seeds.map((seed) => seed.peerAddress),
-      engines,
-      intervalMs: BEAT_MS,
-    } satisfies BeatEnginesData,
-  });
+  const heartbeatThread = new Worker(
+    new URL("./beat_engines.js", import.meta.url),
+    {
+      workerData: {
+        addresses: seeds.map((seed) => seed.peerAddress),
+        engines,
+        intervalMs: HEARTBEAT_INTERVAL_MS,
+      } satisfies HeartbeatThreadData,
+    },
+  );
 
   function open(vm: string, { returnMs = 0 }: OpenSessionOptions = {}) {
     const gateways = createGatewayList();
@@ -126,7 +129,7 @@
       goneEngines: [],
       welcomes: 0,
     };
-    function take(message: LeaderMessage): void {
+    function record(message: LeaderMessage): void {
       if (message.type === "engines") session.goneEngines.push(...message.gone);
       if (message.type === "loads") {
         session.toldRequests.push(message.loads.e0?.requests ?? 0);
@@ -138,10 +141,10 @@
     const link = openLink({
       vm,
       getSeedAddresses: () => seeds.map((seed) => seed.peerAddress),
-      getGatewayCount: () => returnMs / SPREAD_MS_PER_GATEWAY,
+      getGatewayCount: () => returnMs / RECONNECT_SPREAD_MS,
       getLoads: () => ({ e0: { tokens: 100, requests: 1 } }),
       onWelcome: () => void (session.welcomes += 1),
-      onMessage: take,
+      onMessage: record,
     });
     const opened = Object.assign(session, { link });
     sessions.add(opened);
@@ -153,13 +156,13 @@
     findLeader,
     async stopLeader() {
       const leader = findLeader();
-      if (!leader) throw new Error("Nobody leads");
+      if (!leader) throw new Error("No control process leads");
       running.delete(leader);
       await leader.stop();
     },
     async [Symbol.asyncDispose]() {
-      beating.postMessage("stop");
-      await once(beating, "exit");
+      heartbeatThread.postMessage("stop");
+      await once(heartbeatThread, "exit");
       await Promise.all(
         [...sessions].map(({ link }) => link[Symbol.asyncDispose]()),
       );
--- a/test/support/start_session_server.ts
+++ b/test/support/start_session_server.ts
@@ -1,6 +1,6 @@
 /**
- * A control process as gateways see it: it takes sessions and answers as the test
- * says.
+ * A stand-in for a control process: accepts sessions of gateways and answers as the
+ * test specifies.
  *
  * @module
  */
@@ -18,19 +18,19 @@
 
 type SessionStream = ServerDuplexStream<wire.FleetMessage, wire.FleetMessage>;
 
-/** Tells the gateway of one session something. */
-export type Tell = (message: LeaderMessage) => void;
+/** Sends a message to the gateway of one session. */
+export type SendMessage = (message: LeaderMessage) => void;
 
-/** A control process that takes sessions. */
+/** A stand-in for a control process that accepts sessions. */
 export interface SessionServer extends AsyncDisposable {
   readonly address: string;
-  /** Versions in the hellos that came. */
+  /** Versions in the hello messages received. */
   readonly hellos: readonly number[];
-  /** Sessions that are open. */
+  /** Returns the number of open sessions. */
   getOpen(): number;
 }
 
-/** The first message to a gateway that is taken in. */
+/** The first message to a gateway whose session is accepted. */
 export const WELCOME: LeaderMessage = {
   type: "welcome",
   controlAddresses: [],
@@ -38,9 +38,9 @@
   limits: [],
 };
 
-/** Starts a control process that answers each message of a gateway as it is told. */
+/** Starts a stand-in that calls `answer` for each message of a gateway. */
 export async function startSessionServer(
-  answer: (message: GatewayMessage, tell: Tell) => void,
+  answer: (message: GatewayMessage, send: SendMessage) => void,
 ): Promise<SessionServer> {
   const [port] = await findFreePorts(1);
   const address = `127.0.0.1:${port}`;
@@ -57,7 +57,7 @@
         if (message.type === "hello") hellos.push(message.version);
         answer(
           message,
-          (told) => void stream.write(formatLeaderMessage(told, numbers)),
+          (reply) => void stream.write(formatLeaderMessage(reply, numbers)),
         );
       });
       stream.on("error", () => {});
--- a/test/support/trial.ts
+++ b/test/support/trial.ts
@@ -1,5 +1,5 @@
 /**
- * A small fleet with stand-ins that several tests share.
+ * A small fleet of real processes with stand-ins, shared by several tests.
  *
  * @module
  */
@@ -23,17 +23,17 @@
 
 export { type Answer, send };
 
-/** A fleet with its stand-ins. */
+/** A running fleet with its stand-ins. */
 export interface Trial extends AsyncDisposable {
   readonly fleet: Fleet;
   readonly entries: readonly NamedEntry[];
-  /** Two engines for each of three stages. */
+  /** Engines: two for each of three stages. */
   readonly engines: readonly (readonly Engine[])[];
   readonly plain: readonly PlainService[];
   readonly platform: Platform;
 }
 
-/** Starts a fleet with stand-ins and declares its resources. */
+/** Starts a fleet with stand-ins and applies its resources. */
 export async function startTrial(
   options: { stepMs?: number; entries?: number; controls?: number } = {},
 ): Promise<Trial> {
@@ -80,7 +80,7 @@
   );
 }
 
-/** Asks for a completion. */
+/** Requests a completion. */
 export function complete(
   address: string,
   options: { prompt: string; tokens: number; stream?: boolean },
@@ -97,19 +97,19 @@
   });
 }
 
-/** Text of a completion, whole or streamed. */
+/** Returns the text of a completion, streamed or not. */
 export function readText(answer: Answer): string {
   return [...answer.text.matchAll(/"text":"([^"]*)"/g)]
     .map((match) => match[1])
     .join("");
 }
 
-/** The text that must come. */
+/** Computes the expected text of a completion. */
 export function expectText(prompt: string, tokens: number): string {
   return computeAnswer(prompt, { layerCount: LAYER_COUNT, tokens });
 }
 
-/** Counters of an entry, by name. */
+/** Reads the counters of an entry, by name. */
 export async function readCounters(
   address: string,
 ): Promise<Record<string, number>> {
