--- a/standins/engine_math.ts
+++ b/standins/engine_math.ts
@@ -1,19 +1,19 @@
 /**
- * What the stand-in engine computes: small numbers in which a missing, a
- * doubled or a misplaced layer or position shows in every token after it.
+ * Arithmetic of the stand-in engine: a layer or position that is skipped, repeated
+ * or out of order changes every later token.
  *
  * @module
  */
 
-/** Mixes two numbers into one of 32 bits. */
-function mix(a: number, b: number): number {
+/** Hashes two numbers into one of 32 bits. */
+function hash(a: number, b: number): number {
   let x = Math.imul(a ^ (b + 0x9e3779b9), 0x85ebca6b);
   x ^= x >>> 13;
   x = Math.imul(x, 0xc2b2ae35);
   return (x ^ (x >>> 16)) >>> 0;
 }
 
-/** Runs layers on an input; `memory` is what the stage kept of the positions before. */
+/** Runs layers on an input; `memory` is the state of each layer from earlier positions. */
 export function runLayers(
   input: number,
   options: { start: number; end: number; memory: readonly number[] },
@@ -22,32 +22,32 @@
   const memory: number[] = [];
   for (let layer = options.start; layer < options.end; layer++) {
     const kept = options.memory[layer - options.start] ?? 0;
-    value = mix(mix(value, layer + 1), kept);
-    memory.push(mix(kept, value));
+    value = hash(hash(value, layer + 1), kept);
+    memory.push(hash(kept, value));
   }
   return { output: value, memory };
 }
 
-/** Turns a prompt into its input numbers, a word each. */
+/** Converts a prompt into input numbers, one per word. */
 export function readPrompt(prompt: string): number[] {
   const words = prompt.split(/\s+/).filter((word) => word !== "");
   return words.map((word) =>
-    [...word].reduce((sum, letter) => mix(sum, letter.charCodeAt(0)), 7)
+    [...word].reduce((sum, letter) => hash(sum, letter.charCodeAt(0)), 7)
   );
 }
 
-/** Turns the last layer's output into a token. */
+/** Converts the last layer's output into a token. */
 export function makeToken(output: number): { id: number; text: string } {
   const id = output % 50_000;
   return { id, text: ` t${id}` };
 }
 
-/** The input number of a token that was emitted. */
+/** Returns the input number of an emitted token. */
 export function readToken(id: number): number {
-  return mix(id, 11);
+  return hash(id, 11);
 }
 
-/** What a whole model answers: the reference for tests. */
+/** Computes the answer of the whole model: the reference for tests. */
 export function computeAnswer(
   prompt: string,
   options: { layerCount: number; tokens: number },
--- a/standins/index.ts
+++ b/standins/index.ts
@@ -1,5 +1,5 @@
 /**
- * Small stand-ins for what lies outside: engines, plain services, the platform.
+ * Small stand-ins for external systems: engines, plain services, the platform.
  *
  * @module
  */
--- a/standins/make_wire_config.ts
+++ b/standins/make_wire_config.ts
@@ -1,13 +1,13 @@
 /**
- * A small configuration on the platform's wire, for fleets before stand-ins.
+ * Small configurations in the platform's format, for fleets with stand-in upstreams.
  *
  * @module
  */
 
-/** Layers of the model. */
+/** Number of layers of the model. */
 export const LAYERS = 8;
 
-/** The model service's engines on the wire. */
+/** Engine settings of the model service, in the platform's format. */
 const ENGINE = {
   slots: 8,
   kvTokenBytes: 1_000,
@@ -22,11 +22,11 @@
 };
 
 /**
- * Makes a configuration with a route of each kind: `/stream/`, `/once/`, `/safe/`.
+ * Makes a configuration with one route of each type: `/stream/`, `/once/`, `/safe/`.
  *
- * @param version - Its version.
+ * @param version - Version of the configuration.
  * @param fields - The client account's keys and the routes' timeout.
- * @returns The configuration as the operator writes it.
+ * @returns The configuration document of an operator.
  * @throws Nothing.
  * @example
  * const document = JSON.stringify(makeWireConfig(1));
@@ -81,16 +81,16 @@
   };
 }
 
-/** Numbers that spread the texts of routes, so that they share little. */
-const SPREAD = { name: 1, host: 31, prefix: 17 };
+/** Multipliers of an index that give route texts with few common substrings. */
+const ROUTE_MULTIPLIERS = { name: 1, host: 31, prefix: 17 };
 
 /**
  * Makes a configuration of many routes. Two versions differ in the timeouts of two
- * routes, and where one has more of them, in those.
+ * routes, and in the routes that only the longer one has.
  *
- * @param version - Its version.
- * @param options - How many routes it has.
- * @returns The configuration as the operator writes it.
+ * @param version - Version of the configuration.
+ * @param options - The number of routes.
+ * @returns The configuration document of an operator.
  * @throws Nothing.
  * @example
  * const document = JSON.stringify(makeLargeWireConfig(3, { routes: 1_400 }));
@@ -103,14 +103,14 @@
   const [route] = config.routes;
   const routes = Array.from({ length: options.routes }, (_, at) => ({
     ...route,
-    name: `é-${spread(at * SPREAD.name)}`,
-    host: `${spread(at * SPREAD.host)}.example`,
-    pathPrefix: `/${spread(at * SPREAD.prefix)}/`,
+    name: `é-${makeDistinctText(at * ROUTE_MULTIPLIERS.name)}`,
+    host: `${makeDistinctText(at * ROUTE_MULTIPLIERS.host)}.example`,
+    pathPrefix: `/${makeDistinctText(at * ROUTE_MULTIPLIERS.prefix)}/`,
     timeoutMs: at === version * 7 ? 19_000 : 20_000,
   }));
   return { ...config, routes };
 }
 
-function spread(at: number): string {
+function makeDistinctText(at: number): string {
   return (Math.imul(at + 1, 2_654_435_761) >>> 0).toString(36);
 }
--- a/standins/send_beat.ts
+++ b/standins/send_beat.ts
@@ -1,32 +1,34 @@
 /**
- * Sends a heartbeat as engines on the users' platform do.
+ * Sends a heartbeat as an engine on the platform does.
  *
  * @module
  */
 
 import { request } from "undici";
 
-/** Ms for an acknowledgement; then the next control process is called. */
+/** Time limit, in ms, for an acknowledgement; then the next control process is called. */
 const ACK_TIMEOUT_MS = 500;
 
-/** Who says what, and to whom. */
-export interface SendBeatOptions {
+/** Options of {@link sendHeartbeat}. */
+export interface SendHeartbeatOptions {
   readonly engineId: string;
   readonly body: object;
-  /** Control processes, tried in turn. */
+  /** Addresses of control processes, tried in order. */
   readonly controlAddresses: readonly string[];
 }
 
 /**
  * Sends a heartbeat until one control process acknowledges it.
  *
- * @param options - Who says what, and to whom.
- * @returns Whether one has.
+ * @param options - The engine, the heartbeat and the control processes.
+ * @returns Whether a control process acknowledged it.
  * @throws Nothing.
  * @example
- * const isTaken = await sendBeat({ engineId, body, controlAddresses });
+ * const isAcknowledged = await sendHeartbeat({ engineId, body, controlAddresses });
  */
-export async function sendBeat(options: SendBeatOptions): Promise<boolean> {
+export async function sendHeartbeat(
+  options: SendHeartbeatOptions,
+): Promise<boolean> {
   const { engineId, body, controlAddresses } = options;
   for (const control of controlAddresses) {
     try {
@@ -42,7 +44,7 @@
       await answer.body.dump();
       if (answer.statusCode === 200) return true;
     } catch {
-      // The next control process is asked, as on the platform.
+      // Falls through to the next control process, as engines on the platform do.
     }
   }
   return false;
--- a/standins/start_engine.ts
+++ b/standins/start_engine.ts
@@ -1,6 +1,6 @@
 /**
- * A small stand-in for a model engine that holds a range of layers. It speaks
- * the steps of `src/upstreams/call_stage.ts` and refuses what breaks order.
+ * A small stand-in for a model engine that holds a range of layers. It implements
+ * the protocol of `src/upstreams/call_stage.ts` and rejects steps out of order.
  *
  * @module
  */
@@ -8,27 +8,27 @@
 import Fastify from "fastify";
 import { makeToken, readPrompt, readToken, runLayers } from "./engine_math.ts";
 
-/** How the stand-in behaves. */
+/** Options of {@link startEngine}. */
 export interface StartEngineOptions {
   readonly port?: number;
-  /** Time, in ms, of one step. */
+  /** Duration of one step, in ms. */
   readonly stepMs?: number;
   readonly layerCount: number;
-  /** Time, in ms, to load layers by an order; set, it holds none at first. */
+  /** Time, in ms, to load the layers of an order; if set, it holds none at first. */
   readonly loadMs?: number;
-  /** Whether it refuses an order that is older than one it has taken. */
+  /** Whether it rejects an order whose fence is older than that of the last order. */
   readonly checksFences?: boolean;
-  /** Tokens after which the model ends by itself. */
+  /** Number of tokens after which the model ends the answer. */
   readonly endAfter?: number;
 }
 
-/** What a test may do to a running stand-in. */
+/** Faults that a test can inject into a running stand-in. */
 export interface EngineFault {
-  /** Answers nothing, connection open. */
+  /** Leaves requests unanswered with their connections open. */
   frozen?: boolean;
-  /** Cuts the connection at the next steps. */
+  /** Closes the connection at each step. */
   cutting?: boolean;
-  /** Adds to the time of each step, in ms. */
+  /** Additional duration of each step, in ms. */
   delayMs?: number;
 }
 
@@ -36,15 +36,15 @@
 export interface Engine extends AsyncDisposable {
   readonly address: string;
   readonly fault: EngineFault;
-  /** Steps that ran, for counting. */
+  /** Returns the number of steps that ran. */
   getSteps(): number;
   /** Orders that took effect, in order. */
   readonly orders: readonly EngineOrder[];
-  /** Caches that are held now. */
+  /** Returns the number of caches held. */
   getCaches(): number;
 }
 
-/** An order that an engine was given. */
+/** An order to hold a range of layers. */
 export interface EngineOrder {
   readonly fence: { readonly term: number; readonly sequence: number };
   readonly layers: { readonly start: number; readonly end: number };
@@ -79,7 +79,7 @@
   const orders: EngineOrder[] = [];
   let loadedMs = 0;
   let steps = 0;
-  let running = 0;
+  let runningSteps = 0;
   const server = Fastify({ forceCloseConnections: true });
 
   server.post<{ Body: StepBody }>("/v1/steps", async (request, reply) => {
@@ -88,12 +88,12 @@
       request.raw.socket.destroy();
       return await new Promise(() => {});
     }
-    running += 1;
+    runningSteps += 1;
     const delayMs = stepMs + (fault.delayMs ?? 0);
     if (delayMs > 0) {
       await new Promise((resolve) => setTimeout(resolve, delayMs));
     }
-    running -= 1;
+    runningSteps -= 1;
     const { body } = request;
     const cache = findCache(body);
     if (typeof cache === "string") {
@@ -101,15 +101,15 @@
         .send({ reason: cache });
     }
     steps += 1;
-    return { ...runStep(body, cache), load: running };
+    return { ...runStep(body, cache), load: runningSteps };
   });
 
   server.post<{ Body: EngineOrder }>("/v1/orders", (request, reply) => {
     const { fence, layers } = request.body;
     const last = orders.at(-1);
-    const order = compareFences(fence, last?.fence);
-    if (order < 0 && checksFences) return reply.code(409).send({});
-    if (order !== 0) {
+    const fenceOrder = compareFences(fence, last?.fence);
+    if (fenceOrder < 0 && checksFences) return reply.code(409).send({});
+    if (fenceOrder !== 0) {
       orders.push({ fence, layers });
       loadedMs = performance.now() + (loadMs ?? 0);
     }
@@ -126,7 +126,7 @@
     },
   );
 
-  function holds(layers: StepBody["layers"]): boolean {
+  function holdsLayers(layers: StepBody["layers"]): boolean {
     if (loadMs === undefined) return true;
     const held = orders.at(-1)?.layers;
     return performance.now() >= loadedMs && held?.start === layers.start &&
@@ -134,10 +134,10 @@
   }
 
   function findCache(body: StepBody): Cache | string {
-    if (!holds(body.layers)) return "other_layers";
-    const known = caches.get(body.requestId);
+    if (!holdsLayers(body.layers)) return "other_layers";
+    const existing = caches.get(body.requestId);
     if (body.prefill) {
-      if (known && known.epoch >= body.epoch) return "stale_epoch";
+      if (existing && existing.epoch >= body.epoch) return "stale_epoch";
       const cache = {
         epoch: body.epoch,
         nextPosition: body.position,
@@ -146,9 +146,9 @@
       caches.set(body.requestId, cache);
       return cache;
     }
-    if (!known || known.epoch !== body.epoch) return "stale_epoch";
-    if (body.position < known.nextPosition) return "repeat";
-    return body.position > known.nextPosition ? "gap" : known;
+    if (!existing || existing.epoch !== body.epoch) return "stale_epoch";
+    if (body.position < existing.nextPosition) return "repeat";
+    return body.position > existing.nextPosition ? "gap" : existing;
   }
 
   function runStep(body: StepBody, cache: Cache) {
@@ -176,9 +176,9 @@
   }
 
   await server.listen({ host: "127.0.0.1", port });
-  const { port: taken } = server.server.address() as { port: number };
+  const { port: boundPort } = server.server.address() as { port: number };
   return {
-    address: `http://127.0.0.1:${taken}`,
+    address: `http://127.0.0.1:${boundPort}`,
     fault,
     orders,
     getSteps: () => steps,
--- a/standins/start_layer_engine.ts
+++ b/standins/start_layer_engine.ts
@@ -1,9 +1,9 @@
 /**
- * A stand-in of an engine on the users' platform: registers by heartbeat,
- * holds a range of layers, streams events over a path, obeys orders.
+ * A stand-in for an engine on the platform: registers by heartbeat, holds a range of
+ * layers, streams events over a path and carries out orders.
  *
- * It does not pass the work on: as the first engine of a path it asks the
- * others whether they hold their parts, and makes the events itself.
+ * It does not forward the work to the other engines of a path: the first engine makes
+ * all events itself.
  *
  * @module
  */
@@ -13,41 +13,41 @@
 import type { Socket } from "node:net";
 import { setTimeout as sleep } from "node:timers/promises";
 import { ENGINE_CALL, HEADER } from "../platform/names.ts";
-import { sendBeat } from "./send_beat.ts";
+import { sendHeartbeat } from "./send_beat.ts";
 
-/** What an engine does wrong from now on. */
+/** Faults that a test can inject into a running engine. */
 export interface LayerEngineFault {
-  /** Resets a stream after so many of its events, once. */
+  /** Number of events after which one stream is reset. */
   resetAfterEvents?: number;
-  /** Cuts the event after which it resets in two. */
+  /** Writes part of the next event before it resets the stream. */
   cutsEvent?: boolean;
-  /** Closes plain requests without an answer, after it ran them. */
+  /** Runs plain requests, then closes their connections without an answer. */
   losesAnswers?: boolean;
   /** Answers plain requests with the id of another one. */
   mixesIds?: boolean;
-  /** Takes requests and never answers. */
+  /** Accepts requests and never answers. */
   hangs?: boolean;
-  /** Refuses all requests as full. */
+  /** Rejects all requests as full. */
   isFull?: boolean;
-  /** Turns all requests away and asks for rest: its lines of `Retry-After`. */
+  /** Rejects all requests with these lines of `Retry-After`. */
   asksForRest?: readonly string[];
-  /** Ms before it turns one away. */
+  /** Delay of such a rejection, in ms. */
   refusalDelayMs?: number;
-  /** Says in all its answers that it leaves. */
+  /** Announces in all its answers that it leaves. */
   saysLeaving?: boolean;
-  /** Names a rate limit in its answers to requests: its lines of the field. */
+  /** Announces a rate limit in answers to requests: the lines of the header field. */
   namesLimit?: readonly string[];
-  /** Names no limit where it refuses as full. */
+  /** Omits the limit from answers that reject as full. */
   hidesLimitWhenFull?: boolean;
-  /** Names its limit in answers to questions and orders too. */
-  namesLimitToAll?: boolean;
+  /** Announces the limit in answers to status queries and orders too. */
+  announcesLimitToAll?: boolean;
   /** Address of an engine for which all streams here wait. */
   stalledFor?: string;
   /** Leaves the streams that wait out of its reports. */
   hidesStalled?: boolean;
-  /** Ends at once when it begins to run a request with one of these bodies. */
+  /** Crashes when it starts to run a request with one of these bodies. */
   crashesOnBodies?: readonly string[];
-  /** Ms after which it starts again under its id; it stays down without. */
+  /** Ms after which it restarts under the same id; if absent, it stays down. */
   restartsAfterMs?: number;
 }
 
@@ -55,7 +55,7 @@
 export interface StartLayerEngineOptions {
   readonly service: string;
   readonly place: string;
-  /** Where beats go; tried in turn. */
+  /** Control processes that get the heartbeats; tried in order. */
   readonly controlAddresses: readonly string[];
   /** Kind of card; absent for a plain service. */
   readonly card?: string;
@@ -71,49 +71,49 @@
   readonly engineId: string;
   readonly address: string;
   readonly fault: LayerEngineFault;
-  /** All that reached it, in order: requests, questions and orders. */
+  /** All calls that reached it, in order: requests, status queries and orders. */
   readonly arrivals: readonly EngineArrival[];
-  /** Ids of the requests that it ran, with their headers. */
+  /** Requests that it ran, in order. */
   readonly runs: readonly EngineRun[];
   getRange(): readonly [number, number];
-  /** Paths of the streams that began here, as their headers wrote them. */
+  /** Paths of the running streams that start here, as in the header. */
   getPaths(): readonly string[];
-  /** Says in its beats that it leaves; resolves once one is acknowledged. */
+  /** Announces leaving in its heartbeats; resolves once one is acknowledged. */
   drain(): Promise<void>;
-  /** Ends without a word. */
+  /** Stops abruptly and for good. */
   crash(): Promise<void>;
-  /** Requests by which it ended, in order. */
+  /** Crashes caused by requests, in order. */
   readonly crashes: readonly EngineCrash[];
-  /** Ends without a word, and starts again as its fault says. */
+  /** Stops abruptly, and restarts if `restartsAfterMs` is set. */
   fail(): Promise<void>;
 }
 
-/** Something that reached it. */
+/** A call that reached the engine. */
 export interface EngineArrival {
   readonly type: "request" | "question" | "order";
-  /** When it came, in ms of the runtime's steady clock. */
+  /** Time of arrival, in ms of the monotonic clock. */
   readonly atMs: number;
-  /** Id of the request; empty for what is none. */
+  /** Id of the request; empty for other calls. */
   readonly requestId: string;
-  /** Start of the engine's run that it reached, in Unix ms. */
-  readonly bornMs: number;
-  /** Lines of `Retry-After` with which it was turned away. */
-  askedForRest?: readonly string[];
-  /** Whether the answer said that the engine leaves. */
-  readonly toldLeave: boolean;
-  /** Lines of the rate limit that the answer named. */
-  readonly namedLimit?: readonly string[];
+  /** Start of the engine's incarnation that it reached, in Unix ms. */
+  readonly incarnationStartMs: number;
+  /** Lines of `Retry-After` in the rejection. */
+  sentRetryAfter?: readonly string[];
+  /** Whether the answer announced that the engine leaves. */
+  readonly announcedLeaving: boolean;
+  /** Lines of the rate limit that the answer announced. */
+  readonly announcedLimit?: readonly string[];
 }
 
-/** An end under a request. */
+/** A crash caused by a request. */
 export interface EngineCrash {
   /** The request's body. */
   readonly body: string;
-  /** When it was, in ms of the runtime's steady clock. */
+  /** Time of the crash, in ms of the monotonic clock. */
   readonly atMs: number;
 }
 
-/** One run of a request. */
+/** One run of a request by the engine. */
 export interface EngineRun {
   readonly requestId: string;
   readonly account: string | undefined;
@@ -128,9 +128,9 @@
 let nextEngine = 0;
 
 /**
- * Starts a stand-in of an engine.
+ * Starts a stand-in for an engine.
  *
- * @param options - Its service, place, card, and where its beats go.
+ * @param options - Its service, place, card and control processes.
  * @returns The engine.
  * @throws {Error} When no port is free.
  * @example
@@ -161,7 +161,7 @@
   let closed = false;
   let isDown = false;
   const crashes: EngineCrash[] = [];
-  let bornMs = Date.now();
+  let incarnationStartMs = Date.now();
   let onDrained: (() => void) | undefined;
 
   const server = createServer((message, response) => {
@@ -171,14 +171,14 @@
       const body = new TextDecoder().decode(joinBytes(chunks));
       const { url = "", headers } = message;
       const arrival = noteArrival(url, headers[HEADER.requestId] ?? "");
-      if (arrival.toldLeave) response.setHeader(HEADER.leaving, "1");
-      const { namedLimit } = arrival;
-      if (namedLimit) response.setHeader(HEADER.rateLimit, namedLimit);
-      if (url === ENGINE_CALL.report) return report(response);
-      if (url === ENGINE_CALL.order) return obey(response, body);
+      if (arrival.announcedLeaving) response.setHeader(HEADER.leaving, "1");
+      const { announcedLimit } = arrival;
+      if (announcedLimit) response.setHeader(HEADER.rateLimit, announcedLimit);
+      if (url === ENGINE_CALL.report) return sendReport(response);
+      if (url === ENGINE_CALL.order) return handleOrder(response, body);
       const get = (name: string) => headers[name] as string | undefined;
-      void serve(response, { get, body, target: url, arrival }).catch(() =>
-        response.destroy()
+      void handleRequest(response, { get, body, target: url, arrival }).catch(
+        () => response.destroy(),
       );
     });
   });
@@ -197,9 +197,9 @@
       type,
       atMs: performance.now(),
       requestId: String(requestId),
-      bornMs,
-      toldLeave: fault.saysLeaving === true,
-      namedLimit: type === "request" || fault.namesLimitToAll
+      incarnationStartMs,
+      announcedLeaving: fault.saysLeaving === true,
+      announcedLimit: type === "request" || fault.announcesLimitToAll
         ? fault.namesLimit
         : undefined,
     };
@@ -207,14 +207,14 @@
     return arrival;
   }
 
-  function report(response: ServerResponse): void {
+  function sendReport(response: ServerResponse): void {
     const stalled = fault.stalledFor === undefined || fault.hidesStalled
       ? []
       : [...paths.keys()].map((id) => ({ id, address: fault.stalledFor }));
     sendJson(response, { status: 200, body: { stalled, seq: orders } });
   }
 
-  function obey(response: ServerResponse, body: string): void {
+  function handleOrder(response: ServerResponse, body: string): void {
     const order = JSON.parse(body);
     orders += 1;
     if (order.operation === "place") {
@@ -229,7 +229,7 @@
     sendJson(response, { status: 200, body: {} });
   }
 
-  async function serve(
+  async function handleRequest(
     response: ServerResponse,
     options: {
       get: (name: string) => string | undefined;
@@ -247,7 +247,7 @@
     }
     if (fault.asksForRest) {
       if (fault.refusalDelayMs) await sleep(fault.refusalDelayMs);
-      arrival.askedForRest = fault.asksForRest;
+      arrival.sentRetryAfter = fault.asksForRest;
       response.setHeader(HEADER.retryAfter, fault.asksForRest);
       response.writeHead(503, { ...own, [HEADER.notRun]: "1" }).end();
       return;
@@ -269,11 +269,11 @@
     response.on("close", () => {
       run.wasCut = !response.writableFinished;
     });
-    // It ends once, whatever else comes before its connections are gone.
+    // A crash under way covers requests that arrive before the connections close.
     if (isDown) return;
     if (fault.crashesOnBodies?.includes(body)) {
       crashes.push({ body, atMs: performance.now() });
-      return await crashUnder(response, requestId);
+      return await crashDuringAnswer(response, requestId);
     }
     if (fault.hangs) return;
     if (card !== undefined) return await stream(response, { run, get });
@@ -290,7 +290,7 @@
     }).end(text);
   }
 
-  async function crashUnder(
+  async function crashDuringAnswer(
     response: ServerResponse,
     requestId: string,
   ): Promise<void> {
@@ -301,12 +301,12 @@
       "content-type": "text/event-stream",
     });
     response.flushHeaders();
-    // The head of its answer is on its way before the connection breaks.
+    // Lets the response head leave before the connection breaks.
     await sleep(5);
     await restart();
   }
 
-  // What it held and counted is forgotten when it starts again.
+  // The new incarnation starts without layers, paths and counters.
   async function restart(): Promise<void> {
     isDown = true;
     endConnections();
@@ -318,7 +318,7 @@
     orders = 0;
     sequence = 0;
     paths.clear();
-    bornMs = Date.now();
+    incarnationStartMs = Date.now();
     await new Promise<void>((resolve) =>
       server.listen(port, "127.0.0.1", resolve)
     );
@@ -341,12 +341,12 @@
       [HEADER.signature]: "s",
       "content-type": "text/event-stream",
     });
-    let made = 0;
+    let sentCount = 0;
     for (let id = Number(lastEventId ?? 0) + 1; id <= events; id++) {
       await sleep(eventIntervalMs);
       while (fault.stalledFor !== undefined && !closed) await sleep(5);
       if (response.destroyed) break;
-      if (made === fault.resetAfterEvents) {
+      if (sentCount === fault.resetAfterEvents) {
         fault.resetAfterEvents = undefined;
         if (fault.cutsEvent) response.write(`id: ${id}\nda`);
         await sleep(5);
@@ -354,16 +354,16 @@
         break;
       }
       response.write(`id: ${id}\ndata: token ${id}\n\n`);
-      made += 1;
+      sentCount += 1;
     }
     paths.delete(requestId);
     response.end();
   }
 
-  async function beat(): Promise<void> {
+  async function sendNextHeartbeat(): Promise<void> {
     sequence += 1;
     const [from, targetVersion] = range;
-    const said = state;
+    const sentState = state;
     const body = {
       service,
       address,
@@ -373,7 +373,7 @@
       state,
       coldLeftMs: 0,
       seq: sequence,
-      born: bornMs,
+      born: incarnationStartMs,
       ...(card === undefined ? {} : {
         routeType: card,
         models: [{ name: "m", version: 1, adapters: [] }],
@@ -381,23 +381,27 @@
       }),
     };
     const { controlAddresses } = options;
-    const isTaken = await sendBeat({ engineId, body, controlAddresses });
-    if (isTaken && said === "draining") onDrained?.();
+    const isAcknowledged = await sendHeartbeat({
+      engineId,
+      body,
+      controlAddresses,
+    });
+    if (isAcknowledged && sentState === "draining") onDrained?.();
   }
 
-  async function keepBeating(): Promise<void> {
+  async function sendHeartbeats(): Promise<void> {
     while (!closed) {
-      if (!isDown) await beat();
+      if (!isDown) await sendNextHeartbeat();
       await sleep(beatIntervalMs);
     }
   }
-  const beating = keepBeating();
+  const heartbeats = sendHeartbeats();
 
   async function crash(): Promise<void> {
     closed = true;
     endConnections();
     await new Promise((resolve) => server.close(resolve));
-    await beating;
+    await heartbeats;
   }
 
   return {
--- a/standins/start_plain_service.ts
+++ b/standins/start_plain_service.ts
@@ -1,5 +1,5 @@
 /**
- * A small stand-in for a plain service: answers, counts, and fails on demand.
+ * A small stand-in for a plain service that counts requests and fails on demand.
  *
  * @module
  */
@@ -7,23 +7,23 @@
 import Fastify from "fastify";
 import { HEADERS } from "../src/model/index.ts";
 
-/** What a test may do to a running stand-in. */
+/** Faults that a test can inject into a running stand-in. */
 export interface PlainFault {
-  /** Cuts the connection: before the answer, or within it. */
+  /** Closes the connection before the answer, or in the middle of it. */
   cut?: "before" | "within";
-  /** Status of all answers. */
+  /** Status code of all answers. */
   status?: number;
-  /** Says that it did not run the request. */
+  /** Rejects requests and marks them as not run. */
   saysNotRun?: boolean;
-  /** Seconds of rest that it asks for when it says so. */
+  /** Value of `Retry-After` in answers, in seconds. */
   restS?: number;
-  /** Requests a second that it says it takes from all entries together. */
+  /** Announced rate limit, in requests per second for all entries together. */
   limitPerS?: number;
-  /** Names no limit where it says that it did not run the request. */
+  /** Omits the limit from answers that mark a request as not run. */
   hidesLimitWhenNotRun?: boolean;
-  /** Time, in ms, before each answer. */
+  /** Delay of each answer, in ms. */
   delayMs?: number;
-  /** Answers nothing. */
+  /** Leaves requests unanswered. */
   frozen?: boolean;
 }
 
@@ -31,19 +31,19 @@
 export interface PlainService extends AsyncDisposable {
   readonly address: string;
   readonly fault: PlainFault;
-  /** Requests that reached it, run or not. */
+  /** Returns the number of requests that reached it, run or not. */
   countArrivals(): number;
-  /** How often each path ran. */
+  /** Returns how often requests of a path ran. */
   getRuns(path: string): number;
 }
 
-/** Starts a stand-in plain service. */
+/** Starts a stand-in for a plain service. */
 export async function startPlainService(
   options: { port?: number; name?: string } = {},
 ): Promise<PlainService> {
   const { port = 0, name = "plain" } = options;
   const runs = new Map<string, number>();
-  let arrived = 0;
+  let arrivalCount = 0;
   const fault: PlainFault = {};
   const server = Fastify({ forceCloseConnections: true });
   server.addContentTypeParser(
@@ -52,7 +52,7 @@
     (_request, body, done) => done(null, body),
   );
   server.all("/*", async (request, reply) => {
-    arrived += 1;
+    arrivalCount += 1;
     if (fault.restS !== undefined) reply.header("retry-after", fault.restS);
     const hidesLimit = fault.saysNotRun && fault.hidesLimitWhenNotRun;
     if (fault.limitPerS !== undefined && !hidesLimit) {
@@ -88,11 +88,11 @@
     });
   });
   await server.listen({ host: "127.0.0.1", port });
-  const { port: taken } = server.server.address() as { port: number };
+  const { port: boundPort } = server.server.address() as { port: number };
   return {
-    address: `http://127.0.0.1:${taken}`,
+    address: `http://127.0.0.1:${boundPort}`,
     fault,
-    countArrivals: () => arrived,
+    countArrivals: () => arrivalCount,
     getRuns: (path) => runs.get(path) ?? 0,
     [Symbol.asyncDispose]: () => server.close(),
   };
--- a/standins/start_platform.ts
+++ b/standins/start_platform.ts
@@ -1,5 +1,5 @@
 /**
- * A small stand-in for the platform: its list of VMs, live and leaving.
+ * A small stand-in for the platform: it serves the list of VMs, live and leaving.
  *
  * @module
  */
@@ -9,12 +9,12 @@
 /** A running stand-in. */
 export interface Platform extends AsyncDisposable {
   readonly address: string;
-  /** Sets a VM's state in the list. */
+  /** Adds a VM to the list or sets its state. */
   set(vm: string, state: "live" | "leaving"): void;
   remove(vm: string): void;
 }
 
-/** Starts a stand-in platform. */
+/** Starts a stand-in for the platform. */
 export async function startPlatform(
   options: { port?: number } = {},
 ): Promise<Platform> {
--- a/test/support/run_limit_soak.ts
+++ b/test/support/run_limit_soak.ts
@@ -115,7 +115,7 @@
   // Each engine independently announces a series of limits for a while, then none.
   async function varyLimit(engine: LayerEngine, at: number): Promise<void> {
     const random = createRandomSource(seed * 1_000 + at);
-    engine.fault.namesLimitToAll = random.chance(0.5);
+    engine.fault.announcesLimitToAll = random.chance(0.5);
     while (!isOver()) {
       await sleep(random.integer(0, MAX_UNLIMITED_MS));
       const endMs = performance.now() + random.integer(7_500, 11_000);
@@ -165,7 +165,8 @@
     seed,
     windows: windows.length,
     worstShare: Math.max(0, ...windows),
-    limitedRequests: requests.filter(({ namedLimit }) => namedLimit).length,
+    limitedRequests:
+      requests.filter(({ announcedLimit }) => announcedLimit).length,
     ...tally,
     ranTwice: countRepeatedRuns(fleet.plain),
   };
@@ -183,14 +184,15 @@
   history: readonly LimitChange[],
 ): number[] {
   const requests = listRequests(engine);
-  return requests.flatMap(({ atMs: fromMs, bornMs }) => {
+  return requests.flatMap(({ atMs: fromMs, incarnationStartMs }) => {
     const toMs = fromMs + WINDOW_MS;
-    const first = findLimitStart(requests, { fromMs, bornMs });
+    const first = findLimitStart(requests, { fromMs, incarnationStartMs });
     if (first === undefined || first + PROPAGATION_MS > fromMs) return [];
     const allowed = sumAllowed(history, { fromMs, toMs });
     if (allowed === Infinity) return [];
     const count = requests.filter((one) =>
-      one.bornMs === bornMs && one.atMs >= fromMs && one.atMs < toMs
+      one.incarnationStartMs === incarnationStartMs && one.atMs >= fromMs &&
+      one.atMs < toMs
     ).length;
     return [count / (ALLOWED_FACTOR * allowed + ALLOWED_EXTRA)];
   });
@@ -199,12 +201,17 @@
 // When the incarnation began the limited period that includes a time.
 function findLimitStart(
   requests: readonly EngineArrival[],
-  { fromMs, bornMs }: { readonly fromMs: number; readonly bornMs: number },
+  { fromMs, incarnationStartMs }: {
+    readonly fromMs: number;
+    readonly incarnationStartMs: number;
+  },
 ): number | undefined {
   const before = requests.filter((one) =>
-    one.bornMs === bornMs && one.atMs <= fromMs
+    one.incarnationStartMs === incarnationStartMs && one.atMs <= fromMs
+  );
+  const unlimited = before.findLastIndex(({ announcedLimit }) =>
+    !announcedLimit
   );
-  const unlimited = before.findLastIndex(({ namedLimit }) => !namedLimit);
   return before[unlimited + 1]?.atMs;
 }
 
--- a/test/support/run_rest_soak.ts
+++ b/test/support/run_rest_soak.ts
@@ -179,12 +179,14 @@
   const counts = engines.flatMap((engine) => {
     const requests = listRequests(engine);
     return requests.flatMap((asked) => {
-      const backOffMs = BACK_OFFS_MS.get(asked.askedForRest?.join() ?? "") ?? 0;
+      const backOffMs = BACK_OFFS_MS.get(asked.sentRetryAfter?.join() ?? "") ??
+        0;
       if (backOffMs === 0) return [];
       const fromMs = asked.atMs + IN_FLIGHT_MS;
       return requests.filter((one) =>
         one.atMs > fromMs && one.atMs < asked.atMs + backOffMs &&
-        one.bornMs === asked.bornMs && isOfSameGateway(one, asked)
+        one.incarnationStartMs === asked.incarnationStartMs &&
+        isOfSameGateway(one, asked)
       ).length;
     });
   });
@@ -197,11 +199,13 @@
   const result = { leaves: 0, lateAtHearer: 0, lateAnywhere: 0 };
   for (const engine of engines) {
     const requests = listRequests(engine);
-    const announcements = requests.filter(({ toldLeave }) => toldLeave);
+    const announcements = requests.filter(({ announcedLeaving }) =>
+      announcedLeaving
+    );
     result.leaves += announcements.length;
     for (const one of requests) {
-      const sameIncarnation = announcements.filter(({ bornMs }) =>
-        bornMs === one.bornMs
+      const sameIncarnation = announcements.filter(({ incarnationStartMs }) =>
+        incarnationStartMs === one.incarnationStartMs
       );
       const isLate = sameIncarnation.some((other) =>
         one.atMs > other.atMs + STOP_SENDING_MS && isOfSameGateway(one, other)
