--- a/proof/config_soak.ts
+++ b/proof/config_soak.ts
@@ -1,5 +1,5 @@
 /**
- * Plays many seeds of the soak of configurations; started by hand:
+ * Runs many seeds of the soak test of configuration changes; started by hand:
  * `npm run soak:configs -- 50`.
  *
  * @module
@@ -9,12 +9,12 @@
   type ConfigSoakReport,
   runConfigSoak,
 } from "../test/support/run_config_soak.ts";
-import { playSeeds } from "./play_seeds.ts";
+import { runSeeds } from "./play_seeds.ts";
 
 const LENGTH_MS = 10_000;
 
-await playSeeds<ConfigSoakReport>({
-  play: (seed) => runConfigSoak({ seed, lengthMs: LENGTH_MS }),
+await runSeeds<ConfigSoakReport>({
+  runSeed: (seed) => runConfigSoak({ seed, lengthMs: LENGTH_MS }),
   isBad: ({ acknowledged, takenInvalid, reverted, foreign, misrouted }) =>
     acknowledged === 0 || takenInvalid + reverted + foreign + misrouted > 0,
 });
--- a/proof/count_most_in_window.ts
+++ b/proof/count_most_in_window.ts
@@ -1,10 +1,10 @@
 /**
- * The busiest window of a course of events.
+ * The busiest time window of a series of events.
  *
  * @module
  */
 
-/** Counts the most events in any window of a length, both ends included. */
+/** Returns the highest number of events in any window, both of its ends included. */
 export function countMostInWindow(
   timesMs: readonly number[],
   windowMs: number,
--- a/proof/crash_soak.ts
+++ b/proof/crash_soak.ts
@@ -1,6 +1,6 @@
 /**
- * Plays many seeds of the soak of requests that end whoever runs them; started by
- * hand: `npm run soak:crashes -- 50`.
+ * Runs many seeds of the soak test of crashing requests; started by hand:
+ * `npm run soak:crashes -- 50`.
  *
  * @module
  */
@@ -10,12 +10,12 @@
   MOST_LATE_ENDS,
 } from "../test/support/crash_soak_limits.ts";
 import { runCrashSoak } from "../test/support/run_crash_soak.ts";
-import { playSeeds } from "./play_seeds.ts";
+import { runSeeds } from "./play_seeds.ts";
 
 const LENGTH_MS = 8_000;
 
-await playSeeds({
-  play: (seed) => runCrashSoak({ seed, lengthMs: LENGTH_MS }),
+await runSeeds({
+  runSeed: (seed) => runCrashSoak({ seed, lengthMs: LENGTH_MS }),
   isBad: (report) =>
     report.wronglyHeld + report.spoilt + report.ranTwice > 0 ||
     report.lateEnds > MOST_LATE_ENDS ||
--- a/proof/play_seeds.ts
+++ b/proof/play_seeds.ts
@@ -1,37 +1,37 @@
 /**
- * Plays many seeds of a soak, prints each report, and ends the process.
+ * Runs many seeds of a soak test, prints each report, and exits the process.
  *
  * @module
  */
 
 import process from "node:process";
 
-/** Seeds that are played where none are given on the command line. */
+/** Number of seeds if the command line gives none. */
 const DEFAULT_SEEDS = 50;
 
-/** One seed's play, and how it is judged. */
-export interface PlaySeedsOptions<Report> {
-  readonly play: (seed: number) => Promise<Report>;
+/** Options of {@link runSeeds}. */
+export interface RunSeedsOptions<Report> {
+  readonly runSeed: (seed: number) => Promise<Report>;
   readonly isBad: (report: Report) => boolean;
 }
 
 /**
- * Plays seeds from 1 on, as many as the command line says; the process ends with 1
- * where one is bad.
+ * Runs seeds from 1 up to the number on the command line; the exit code is 1 if a
+ * report is bad.
  *
- * @param options - One seed's play, and how it is judged.
- * @returns A promise that never resolves: the process ends.
- * @throws What a play throws.
+ * @param options - The soak test of one seed, and the check of its report.
+ * @returns A promise that never resolves: the process exits.
+ * @throws What the soak test throws.
  * @example
- * await playSeeds({ play: (seed) => runSoak({ seed }), isBad });
+ * await runSeeds({ runSeed: (seed) => runSoak({ seed }), isBad });
  */
-export async function playSeeds<Report>(
-  { play, isBad }: PlaySeedsOptions<Report>,
+export async function runSeeds<Report>(
+  { runSeed, isBad }: RunSeedsOptions<Report>,
 ): Promise<never> {
   const seeds = Number(process.argv[2] ?? DEFAULT_SEEDS);
   let failed = 0;
   for (let seed = 1; seed <= seeds; seed++) {
-    const report = await play(seed);
+    const report = await runSeed(seed);
     const verdict = isBad(report) ? "BAD" : "good";
     if (verdict === "BAD") failed += 1;
     process.stdout.write(`${verdict} ${JSON.stringify(report)}\n`);
--- a/proof/random_source.ts
+++ b/proof/random_source.ts
@@ -1,5 +1,5 @@
 /**
- * Seeded randomness for proofs and measurements.
+ * Seeded random numbers for soak tests and measurements.
  *
  * @module
  */
@@ -13,15 +13,15 @@
   number(): number;
   /** A whole number from `least` to `most`, both included. */
   integer(least: number, most: number): number;
-  /** True with a probability. */
+  /** Returns true with the given probability. */
   chance(probability: number): boolean;
-  /** One of the items. */
+  /** Returns one of the items, each with the same probability. */
   pick<Item>(items: readonly Item[]): Item;
-  /** A number drawn from the exponential distribution. */
+  /** A number from the exponential distribution. */
   exponential(mean: number): number;
 }
 
-/** Makes a source of random values from a seed. */
+/** Creates a source of random values from a seed. */
 export function createRandomSource(seed: number): RandomSource {
   const generator = xoroshiro128plus(seed);
   const number = () => uniformInt(generator, 0, 0x3fffffff) / 0x40000000;
--- a/proof/run_schedule.ts
+++ b/proof/run_schedule.ts
@@ -1,6 +1,6 @@
 /**
- * A seeded run of the real step functions under faults, with what must hold
- * checked at every step.
+ * A seeded simulation of the real step functions under faults that checks the
+ * invariants at every step.
  *
  * @module
  */
@@ -19,7 +19,7 @@
 import { createScheduleEntry } from "./schedule_entry.ts";
 import {
   createScheduleReplica,
-  type Sabotage,
+  type InjectedFault,
   type ScheduleReplica,
 } from "./schedule_replica.ts";
 
@@ -27,15 +27,15 @@
 export interface RunScheduleOptions {
   readonly seed: number;
   readonly replicas?: number;
-  /** Virtual time, in ms, with faults. */
+  /** Virtual time, in ms, in which faults are injected. */
   readonly faultMs?: number;
-  /** Virtual time, in ms, without, at the end of which all must agree. */
-  readonly calmMs?: number;
-  /** A fault put into the program, which the run must then catch. */
-  readonly sabotage?: Sabotage;
+  /** Virtual time, in ms, without faults, after which all replicas must agree. */
+  readonly recoveryMs?: number;
+  /** A fault injected into the program, which the run must detect. */
+  readonly injectedFault?: InjectedFault;
 }
 
-/** What a run counted. */
+/** Counts of one run. */
 export interface ScheduleReport {
   readonly elections: number;
   readonly committed: number;
@@ -49,29 +49,29 @@
   readonly reads: number;
 }
 
-/** Something that must hold did not. */
+/** A violated invariant. */
 export class ScheduleViolation extends Error {
   constructor(seed: number, what: string) {
     super(`Seed ${seed}: ${what}`);
   }
 }
 
-interface Flying {
+interface InFlightMessage {
   readonly dueMs: number;
   readonly message: QuorumMessage;
 }
 
 interface Node {
   replica: ScheduleReplica;
-  cutUntilMs: number;
+  partitionedUntilMs: number;
   frozenUntilMs: number;
   syncDueMs: number;
-  readonly rate: number;
-  readonly offsetMs: number;
+  readonly clockRate: number;
+  readonly clockOffsetMs: number;
   nextTickMs: number;
 }
 
-interface Pending {
+interface Proposal {
   readonly command: Command;
   index: number;
   term: number;
@@ -80,10 +80,15 @@
 const STEP_MS = 2;
 const TICK_MS = 25;
 
-/** Runs one schedule; throws a {@link ScheduleViolation} where it breaks. */
+/** Runs one schedule; throws a {@link ScheduleViolation} if an invariant is violated. */
 export function runSchedule(options: RunScheduleOptions): ScheduleReport {
-  const { seed, replicas = 3, faultMs = 30_000, calmMs = 8_000, sabotage } =
-    options;
+  const {
+    seed,
+    replicas = 3,
+    faultMs = 30_000,
+    recoveryMs = 8_000,
+    injectedFault,
+  } = options;
   const random = createRandomSource(seed);
   const counts = {
     elections: 0,
@@ -99,24 +104,24 @@
   };
   let timeMs = 0;
   let nextId = 1;
-  let flying: Flying[] = [];
+  let inFlightMessages: InFlightMessage[] = [];
   const leaders = new Map<number, string>();
-  const canonical = new Map<number, string>();
-  const states = new Map<number, string>();
-  const pending = new Map<number, Pending>();
-  const reads = new Map<number, number>();
-  const answers = new Map<string, string>();
-  const granted = new Map<string, string>();
-  const resend: ChangeCommand[] = [];
+  const appliedEntries = new Map<number, string>();
+  const appliedResults = new Map<number, string>();
+  const proposals = new Map<number, Proposal>();
+  const pendingReads = new Map<number, number>();
+  const changeAnswers = new Map<string, string>();
+  const claimHolders = new Map<string, string>();
+  const recentChanges: ChangeCommand[] = [];
   let highestCommitted = 0;
-  let highestAnswered = 0;
+  let highestAcknowledged = 0;
 
   function fail(what: string): never {
     throw new ScheduleViolation(seed, what);
   }
 
   const vms = Array.from({ length: replicas }, (_v, at) => `vm-${at + 1}`);
-  const founders: Member[] = vms.map((vm) => ({
+  const initialMembers: Member[] = vms.map((vm) => ({
     id: `${vm}.0`,
     vm,
     address: vm,
@@ -126,15 +131,19 @@
 
   function makeNode(vm: string): Node {
     const node = {
-      cutUntilMs: 0,
+      partitionedUntilMs: 0,
       frozenUntilMs: 0,
       syncDueMs: 0,
-      // Clocks run up to 7 in 100 fast or slow.
-      rate: 0.93 + random.number() * 0.14,
-      offsetMs: random.number() * 1e6,
+      // Clocks run up to 7 percent fast or slow.
+      clockRate: 0.93 + random.number() * 0.14,
+      clockOffsetMs: random.number() * 1e6,
       nextTickMs: 0,
     } as Node;
-    node.replica = makeReplica(node, { vm, id: `${vm}.0`, members: founders });
+    node.replica = makeReplica(node, {
+      vm,
+      id: `${vm}.0`,
+      members: initialMembers,
+    });
     return node;
   }
 
@@ -145,23 +154,23 @@
     return createScheduleReplica({
       ...of,
       random,
-      sabotage,
+      injectedFault,
       snapshotEntries: 300,
-      getLocalMs: () => node.offsetMs + timeMs * node.rate,
+      getLocalMs: () => node.clockOffsetMs + timeMs * node.clockRate,
       listener: {
         send,
-        applied: (entry, result) => takeApplied(of.id, entry, result),
+        applied: (entry, result) => checkApplied(of.id, entry, result),
         accepted(proposalId, index, term) {
-          const proposal = pending.get(proposalId);
+          const proposal = proposals.get(proposalId);
           if (proposal) Object.assign(proposal, { index, term });
         },
-        refused: (proposalId) => void pending.delete(proposalId),
-        readReady: (readId, index) => takeRead(readId, index),
-        lead(term) {
+        refused: (proposalId) => void proposals.delete(proposalId),
+        readReady: (readId, index) => checkRead(readId, index),
+        becameLeader(term) {
           counts.elections += 1;
-          const known = leaders.get(term);
-          if (known !== undefined && known !== of.id) {
-            fail(`two leaders in term ${term}: ${known} and ${of.id}`);
+          const earlier = leaders.get(term);
+          if (earlier !== undefined && earlier !== of.id) {
+            fail(`two leaders in term ${term}: ${earlier} and ${of.id}`);
           }
           leaders.set(term, of.id);
         },
@@ -173,104 +182,104 @@
     if (message.body.type === "snapshot") counts.snapshots += 1;
     const copies = random.chance(0.03) ? 2 : 1;
     for (let copy = 0; copy < copies; copy++) {
-      if (random.chance(lossNow())) continue;
+      if (random.chance(getLossProbability())) continue;
       const slow = random.chance(0.02);
       const delayMs = slow ? random.integer(50, 400) : random.integer(1, 8);
-      flying.push({ dueMs: timeMs + delayMs, message });
+      inFlightMessages.push({ dueMs: timeMs + delayMs, message });
     }
   }
 
-  const lossNow = () => timeMs < faultMs ? 0.03 : 0;
-  const isCut = (node: Node) => timeMs < node.cutUntilMs;
+  const getLossProbability = () => timeMs < faultMs ? 0.03 : 0;
+  const isPartitioned = (node: Node) => timeMs < node.partitionedUntilMs;
   const isFrozen = (node: Node) => timeMs < node.frozenUntilMs;
   const findNode = (id: string) =>
     nodes.find((candidate) => candidate.replica.id === id);
 
   function deliver(): void {
-    const due = flying.filter((one) => one.dueMs <= timeMs);
-    flying = flying.filter((one) => one.dueMs > timeMs);
+    const due = inFlightMessages.filter((one) => one.dueMs <= timeMs);
+    inFlightMessages = inFlightMessages.filter((one) => one.dueMs > timeMs);
     for (const { message } of due) {
       const to = findNode(message.to);
       const from = findNode(message.from);
-      const blocked = !to || isCut(to) || (from && isCut(from));
+      const blocked = !to || isPartitioned(to) || (from && isPartitioned(from));
       if (blocked) continue;
       if (isFrozen(to)) {
-        // The kernel keeps what comes for a stopped process.
-        flying.push({ dueMs: to.frozenUntilMs, message });
+        // The kernel buffers messages for a stopped process.
+        inFlightMessages.push({ dueMs: to.frozenUntilMs, message });
         continue;
       }
-      to.replica.give({ type: "message", message });
+      to.replica.handle({ type: "message", message });
     }
   }
 
-  function takeApplied(
+  function checkApplied(
     id: string,
     entry: LogEntry,
     result: unknown,
   ): void {
     const text = JSON.stringify(entry);
-    const known = canonical.get(entry.index);
-    if (known !== undefined && known !== text) {
-      fail(`${id} applied another entry at ${entry.index}`);
+    const earlier = appliedEntries.get(entry.index);
+    if (earlier !== undefined && earlier !== text) {
+      fail(`${id} applied a different entry at ${entry.index}`);
     }
-    canonical.set(entry.index, text);
+    appliedEntries.set(entry.index, text);
     highestCommitted = Math.max(highestCommitted, entry.index);
     const outcome = JSON.stringify(result) ?? "";
     const key = entry.index;
-    const before = states.get(key);
+    const before = appliedResults.get(key);
     if (before !== undefined && before !== outcome) {
-      fail(`${id} came to another result at ${entry.index}`);
+      fail(`${id} computed a different result at ${entry.index}`);
     }
-    states.set(key, outcome);
-    settle(entry, result);
+    appliedResults.set(key, outcome);
+    resolveProposals(entry, result);
   }
 
-  function settle(entry: LogEntry, result: unknown): void {
-    for (const [proposalId, proposal] of pending) {
+  function resolveProposals(entry: LogEntry, result: unknown): void {
+    for (const [proposalId, proposal] of proposals) {
       if (proposal.index !== entry.index) continue;
-      pending.delete(proposalId);
+      proposals.delete(proposalId);
       if (proposal.term !== entry.term) continue;
-      highestAnswered = Math.max(highestAnswered, entry.index);
-      takeAnswer(proposal.command, result);
+      highestAcknowledged = Math.max(highestAcknowledged, entry.index);
+      checkAnswer(proposal.command, result);
     }
   }
 
-  function takeAnswer(command: Command, result: unknown): void {
+  function checkAnswer(command: Command, result: unknown): void {
     if (command.type === "change") {
       const answer = JSON.stringify(result);
-      const first = answers.get(command.changeId);
+      const first = changeAnswers.get(command.changeId);
       if (first !== undefined && first !== answer) {
-        fail(`change ${command.changeId} got two answers`);
+        fail(`change ${command.changeId} got two different answers`);
       }
-      answers.set(command.changeId, answer);
+      changeAnswers.set(command.changeId, answer);
       if ((result as ChangeResult).accepted) counts.changesAccepted += 1;
       return;
     }
     if (command.type !== "claimBegin") return;
     if ((result as ClaimVerdict).verdict !== "granted") return;
-    const holder = granted.get(command.key);
+    const holder = claimHolders.get(command.key);
     if (holder !== undefined) {
       fail(
         `claim ${command.key} was granted to ${holder} and ${command.holder}`,
       );
     }
-    granted.set(command.key, command.holder);
+    claimHolders.set(command.key, command.holder);
     counts.claimsGranted += 1;
   }
 
-  function takeRead(readId: number, index: number): void {
-    const least = reads.get(readId);
-    reads.delete(readId);
+  function checkRead(readId: number, index: number): void {
+    const least = pendingReads.get(readId);
+    pendingReads.delete(readId);
     if (least === undefined) return;
     counts.reads += 1;
-    if (index < least) fail(`a read saw ${index}, but ${least} was answered`);
+    if (index < least) fail(`read index ${index} < acknowledged ${least}`);
   }
 
   function propose(node: Node, command: Command): void {
     const proposalId = nextId++;
-    pending.set(proposalId, { command, index: 0, term: 0 });
+    proposals.set(proposalId, { command, index: 0, term: 0 });
     const body = JSON.stringify(command);
-    node.replica.give({ type: "propose", proposalId, body });
+    node.replica.handle({ type: "propose", proposalId, body });
   }
 
   function makeChange(node: Node): ChangeCommand {
@@ -289,13 +298,13 @@
     };
   }
 
-  function work(): void {
+  function submitOperation(): void {
     const node = random.pick(nodes);
     if (isFrozen(node) || !random.chance(0.3)) return;
     if (random.chance(0.2)) {
       const readId = nextId++;
-      reads.set(readId, highestAnswered);
-      node.replica.give({ type: "read", readId });
+      pendingReads.set(readId, highestAcknowledged);
+      node.replica.handle({ type: "read", readId });
       return;
     }
     if (random.chance(0.3)) {
@@ -309,12 +318,12 @@
       });
       return;
     }
-    const again = resend.length > 0 && random.chance(0.3);
-    const change = again ? random.pick(resend) : makeChange(node);
-    if (!again) resend.push(change);
-    if (resend.length > 30) resend.shift();
+    const isResent = recentChanges.length > 0 && random.chance(0.3);
+    const change = isResent ? random.pick(recentChanges) : makeChange(node);
+    if (!isResent) recentChanges.push(change);
+    if (recentChanges.length > 30) recentChanges.shift();
     propose(node, change);
-    // Two operators race with the same revision.
+    // Another operator sends a change that expects the same revision.
     if (random.chance(0.1)) {
       propose(random.pick(nodes), {
         ...change,
@@ -324,7 +333,7 @@
     }
   }
 
-  function lead(node: Node): void {
+  function proposeMembers(node: Node): void {
     const state = node.replica.getState();
     if (state.role !== "leader" || isFrozen(node)) return;
     const members = planMembersChange(state, {
@@ -345,13 +354,14 @@
     ]);
     if (!next) return;
     const proposalId = nextId++;
-    node.replica.give({ type: "changeMembers", proposalId, members: next });
+    node.replica.handle({ type: "changeMembers", proposalId, members: next });
   }
 
-  // A disk may be lost only while a quorum of sound ones remains.
-  function isWhole(): boolean {
+  // Disks are wiped only while all replicas are voters and a leader holds its lease, so
+  // that a quorum of intact disks remains.
+  function hasFullMembership(): boolean {
     const leader = nodes.find((node) =>
-      node.replica.getState().role === "leader" && !isCut(node) &&
+      node.replica.getState().role === "leader" && !isPartitioned(node) &&
       !isFrozen(node)
     );
     if (!leader) return false;
@@ -371,33 +381,33 @@
     node.frozenUntilMs = timeMs + random.integer(0, 1_500);
   }
 
-  let wipeSerial = 1;
-  function hurt(): void {
+  let nextDiskNumber = 1;
+  function injectFaults(): void {
     const node = random.pick(nodes);
     if (random.chance(0.002)) crash(node);
-    // All may lose power in one moment: nothing is left but what was synced.
+    // All replicas may lose power at once: only synced writes survive.
     if (random.chance(0.0004)) {
       nodes.forEach((one) => crash(one, { losesWrites: true }));
     }
     if (random.chance(0.001)) {
       counts.cuts += 1;
-      node.cutUntilMs = timeMs + random.integer(100, 4_000);
+      node.partitionedUntilMs = timeMs + random.integer(100, 4_000);
     }
     if (random.chance(0.001)) {
       counts.freezes += 1;
       node.frozenUntilMs = timeMs + random.integer(100, 3_000);
     }
-    if (random.chance(0.004) && isWhole()) {
+    if (random.chance(0.004) && hasFullMembership()) {
       counts.wipes += 1;
       const { vm } = node.replica;
-      const same = sabotage === "wiped_same_id";
-      const id = same ? node.replica.id : `${vm}.${wipeSerial++}`;
-      const members = same ? founders : [];
+      const keepsId = injectedFault === "wiped_same_id";
+      const id = keepsId ? node.replica.id : `${vm}.${nextDiskNumber++}`;
+      const members = keepsId ? initialMembers : [];
       node.replica = makeReplica(node, { vm, id, members });
     }
     if (random.chance(0.001)) {
       const { id } = random.pick(nodes).replica;
-      node.replica.give({ type: "transfer", to: id });
+      node.replica.handle({ type: "transfer", to: id });
     }
   }
 
@@ -409,18 +419,22 @@
       })
     );
     if (holders.length > 1) {
-      fail(`leases of ${holders.map((node) => node.replica.id).join(" and ")}`);
+      fail(
+        `more than one lease: ${
+          holders.map((node) => node.replica.id).join(" and ")
+        }`,
+      );
     }
   }
 
   const entries = [1, 2].map(() =>
-    createScheduleEntry({ random, fail, sabotage })
+    createScheduleEntry({ random, fail, injectedFault })
   );
 
   function runStep(): void {
     timeMs += STEP_MS;
     deliver();
-    if (timeMs < faultMs) hurt();
+    if (timeMs < faultMs) injectFaults();
     for (const node of nodes) {
       if (isFrozen(node)) continue;
       if (timeMs >= node.syncDueMs) {
@@ -429,11 +443,11 @@
       }
       if (timeMs >= node.nextTickMs) {
         node.nextTickMs = timeMs + TICK_MS;
-        node.replica.give({ type: "tick" });
-        lead(node);
+        node.replica.handle({ type: "tick" });
+        proposeMembers(node);
       }
     }
-    work();
+    submitOperation();
     const served = random.pick(nodes);
     if (served.replica.getState().role === "leader") {
       random.pick(entries).offer(served.replica.getMachine().getResources());
@@ -441,27 +455,27 @@
     checkLeases();
   }
 
-  while (timeMs < faultMs + calmMs) runStep();
-  checkAgreement();
+  while (timeMs < faultMs + recoveryMs) runStep();
+  checkFinalState();
 
-  function checkAgreement(): void {
+  function checkFinalState(): void {
     const leader = nodes.find((node) =>
       hasLeaderLease(node.replica.getState(), {
         nowMs: node.replica.getLocalMs(),
       })
     );
-    if (!leader) fail("nobody leads after the calm");
+    if (!leader) fail("no leader after the recovery time");
     const { commitIndex } = leader.replica.getState();
     if (commitIndex < highestCommitted) fail("a committed entry was lost");
     const state = leader.replica.getMachine().getResources();
-    for (const [changeId, answer] of answers) {
+    for (const [changeId, answer] of changeAnswers) {
       const kept = state.answered.get(changeId);
       if (JSON.stringify(kept?.result) !== answer) {
         fail(`the answer to change ${changeId} was lost`);
       }
     }
     counts.committed = commitIndex;
-    if (!isWhole()) fail("the membership was not repaired in the calm");
+    if (!hasFullMembership()) fail("the membership was not repaired in time");
   }
 
   return counts;
--- a/proof/schedule_entry.ts
+++ b/proof/schedule_entry.ts
@@ -1,5 +1,5 @@
 /**
- * An entry of a randomised schedule: the real copy of the configuration.
+ * An entry of a randomised schedule, with the real replica of the configuration.
  *
  * @module
  */
@@ -14,25 +14,25 @@
   type ResourceState,
 } from "../src/resources/index.ts";
 import type { RandomSource } from "./random_source.ts";
-import type { Sabotage } from "./schedule_replica.ts";
+import type { InjectedFault } from "./schedule_replica.ts";
 
-/** An entry that takes pieces of configuration late and in any order. */
+/** Creates an entry that receives configuration updates late and out of order. */
 export function createScheduleEntry(options: {
   random: RandomSource;
   fail: (what: string) => never;
-  sabotage: Sabotage | undefined;
+  injectedFault: InjectedFault | undefined;
 }) {
-  const { random, fail, sabotage } = options;
+  const { random, fail, injectedFault } = options;
   let config: ConfigReplica = createConfigReplica();
-  const late: Parameters<ConfigReplica["take"]>[0][] = [];
-  let highest = 0;
+  const delayedUpdates: Parameters<ConfigReplica["take"]>[0][] = [];
+  let highestRevision = 0;
 
   function offer(state: ResourceState): void {
     if (state.revision === 0) return;
     const since = random.chance(0.5) ? config.getState().revision : 0;
     const changes = getChangesSince(state, since);
     const full = changes === undefined;
-    late.push({
+    delayedUpdates.push({
       clusterId: "c",
       revision: state.revision,
       full,
@@ -43,17 +43,20 @@
         resource,
       })),
     });
-    if (late.length < 4) return;
-    const [piece] = late.splice(random.integer(0, late.length - 1), 1);
-    if (sabotage === "take_any_revision") config = createConfigReplica();
-    const taken = config.take(piece);
+    if (delayedUpdates.length < 4) return;
+    const [update] = delayedUpdates.splice(
+      random.integer(0, delayedUpdates.length - 1),
+      1,
+    );
+    if (injectedFault === "take_any_revision") config = createConfigReplica();
+    const outcome = config.take(update);
     const now = config.getState();
-    if (now.revision < highest) fail("an entry went back");
-    highest = now.revision;
-    if (taken !== "applied" || now.revision !== state.revision) return;
-    const ours = getResourceStateData(now).resources;
-    const theirs = getResourceStateData(state).resources;
-    if (sortedText(ours) !== sortedText(theirs)) {
+    if (now.revision < highestRevision) fail("an entry's revision decreased");
+    highestRevision = now.revision;
+    if (outcome !== "applied" || now.revision !== state.revision) return;
+    const entryResources = getResourceStateData(now).resources;
+    const controlResources = getResourceStateData(state).resources;
+    if (sortedText(entryResources) !== sortedText(controlResources)) {
       fail(`an entry differs at revision ${now.revision}`);
     }
   }
--- a/proof/schedule_replica.ts
+++ b/proof/schedule_replica.ts
@@ -1,6 +1,6 @@
 /**
- * One replica of a randomised schedule: the real step function and the real
- * state machine over a disk that may lose what was not synced.
+ * One replica of a randomised schedule: the real step function and the real state
+ * machine on a simulated disk that may lose unsynced writes.
  *
  * @module
  */
@@ -28,14 +28,14 @@
 import type { RandomSource } from "./random_source.ts";
 
 /**
- * Faults put into the program on purpose, to see that the checks catch them:
- * answers before the sync, a lease that is longer than the silence of voters,
- * a lost disk that comes back under its old id, answers to changes and claims
- * that are forgotten, an entry that takes any revision. A vote lost in a crash
- * does not show in timed runs, since a replica that starts keeps its vote back
- * for an election timeout; the model check under `spec/` shows it.
+ * Faults injected into the program to verify that the checks detect them: answers
+ * before the sync, a lease longer than the time for which voters withhold their
+ * votes, a wiped disk under the old replica id, forgotten answers to changes and
+ * claims, an entry that accepts any revision. A vote lost in a crash is not detected
+ * by timed runs, because a starting replica withholds its vote for an election
+ * timeout; the model check under `spec/` covers it.
  */
-export const SABOTAGES = [
+export const INJECTED_FAULTS = [
   "answer_before_sync",
   "long_lease",
   "wiped_same_id",
@@ -44,25 +44,25 @@
   "take_any_revision",
 ] as const;
 
-/** A fault put into the program on purpose. */
-export type Sabotage = typeof SABOTAGES[number];
+/** A fault injected into the program. */
+export type InjectedFault = typeof INJECTED_FAULTS[number];
 
-/** What survives a crash. */
+/** State that survives a crash. */
 interface Disk {
   hard: HardState;
   snapshot: { meta: SnapshotMeta; data: string } | undefined;
   log: LogEntry[];
 }
 
-/** What the schedule hears of a replica. */
+/** Callbacks from a replica to the schedule. */
 export interface ReplicaListener {
   send(message: QuorumMessage): void;
-  /** The log's entries as this replica applies them, with their results. */
+  /** Called for each log entry that this replica applies, with its result. */
   applied(entry: LogEntry, result: unknown): void;
   accepted(proposalId: number, index: number, term: number): void;
   refused(proposalId: number): void;
   readReady(readId: number, index: number): void;
-  lead(term: number): void;
+  becameLeader(term: number): void;
 }
 
 /** Options of {@link createScheduleReplica}. */
@@ -72,11 +72,11 @@
   readonly members: readonly Member[];
   readonly random: RandomSource;
   readonly listener: ReplicaListener;
-  /** Entries between two snapshots. */
+  /** Number of log entries between two snapshots. */
   readonly snapshotEntries: number;
-  /** Local monotonic time, in ms, of a moment of the schedule. */
+  /** Returns the replica's local monotonic time, in ms. */
   readonly getLocalMs: () => number;
-  readonly sabotage?: Sabotage;
+  readonly injectedFault?: InjectedFault;
 }
 
 /** A replica of a schedule. */
@@ -86,28 +86,30 @@
   getState(): QuorumState;
   getMachine(): StateMachine;
   getLocalMs(): number;
-  /** Steps at once, or once the running sync has ended. */
-  give(event: QuorumEvent): void;
-  /** Ends the running sync, if one runs. */
+  /** Processes an event at once, or after the sync that is under way. */
+  handle(event: QuorumEvent): void;
+  /** Completes the sync that is under way, if any. */
   sync(): void;
-  /** Loses what was not synced, and starts again from the disk. */
-  /** Starts it anew from its disk, without its unsynced writes if so said. */
+  /**
+   * Loses unsynced state and restarts from the disk. With `losesWrites` no write under
+   * way reaches the disk; without it, a part of them may.
+   */
   crash(options?: { losesWrites: boolean }): void;
 }
 
-const NEW_DISK: Disk = {
+const EMPTY_DISK: Disk = {
   hard: { term: 0, votedFor: null },
   snapshot: undefined,
   log: [],
 };
 
-/** Makes a replica of a schedule. */
+/** Creates a replica of a schedule. */
 export function createScheduleReplica(
   options: ScheduleReplicaOptions,
 ): ScheduleReplica {
-  const { id, vm, random, listener, getLocalMs, sabotage } = options;
-  let disk: Disk = options.members.length === 0 ? NEW_DISK : {
-    ...NEW_DISK,
+  const { id, vm, random, listener, getLocalMs, injectedFault } = options;
+  let disk: Disk = options.members.length === 0 ? EMPTY_DISK : {
+    ...EMPTY_DISK,
     snapshot: {
       meta: { index: 0, term: 0, members: options.members },
       data: "",
@@ -115,8 +117,8 @@
   };
   let machine = createStateMachine({ claimWindowMs: 1e9 });
   let state = startFromDisk();
-  let waiting: QuorumEvent[] = [];
-  let syncing: QuorumEffect[] | undefined;
+  let queuedEvents: QuorumEvent[] = [];
+  let effectsInSync: QuorumEffect[] | undefined;
   let snapshotIndex = state.commitIndex;
 
   function startFromDisk(): QuorumState {
@@ -126,7 +128,7 @@
       hard: disk.hard,
       snapshot: disk.snapshot?.meta,
       log: disk.log,
-      timing: sabotage === "long_lease"
+      timing: injectedFault === "long_lease"
         ? { ...DEFAULT_QUORUM_TIMING, leaseMs: 2_000 }
         : DEFAULT_QUORUM_TIMING,
       nowMs: getLocalMs(),
@@ -134,31 +136,31 @@
     });
   }
 
-  function give(event: QuorumEvent): void {
-    waiting.push(event);
-    if (!syncing) runBatch();
+  function handle(event: QuorumEvent): void {
+    queuedEvents.push(event);
+    if (!effectsInSync) runBatch();
   }
 
   function runBatch(): void {
-    while (waiting.length > 0 && !syncing) {
-      const batch = waiting;
-      waiting = [];
+    while (queuedEvents.length > 0 && !effectsInSync) {
+      const batch = queuedEvents;
+      queuedEvents = [];
       const effects = batch.flatMap(step);
       for (const effect of effects) {
-        if (effect.type === "send" && isEarly(effect)) {
+        if (effect.type === "send" && isSentBeforeSync(effect)) {
           listener.send(effect.message);
         }
       }
-      const writes = effects.some((effect) =>
+      const hasWrites = effects.some((effect) =>
         effect.type === "persist" || effect.type === "installSnapshot"
       );
-      syncing = effects;
-      if (!writes) sync();
+      effectsInSync = effects;
+      if (!hasWrites) sync();
     }
   }
 
-  const isEarly = (effect: { afterSync: boolean }) =>
-    !effect.afterSync || sabotage === "answer_before_sync";
+  const isSentBeforeSync = (effect: { afterSync: boolean }) =>
+    !effect.afterSync || injectedFault === "answer_before_sync";
 
   function step(event: QuorumEvent): readonly QuorumEffect[] {
     const before = state;
@@ -170,14 +172,14 @@
   }
 
   function sync(): void {
-    const effects = syncing;
+    const effects = effectsInSync;
     if (!effects) return;
     let last: LogEntry | undefined;
     for (const effect of effects) last = persist(effect) ?? last;
-    if (last) waiting.unshift({ type: "synced", ...last });
-    effects.forEach(carryOut);
+    if (last) queuedEvents.unshift({ type: "synced", ...last });
+    effects.forEach(execute);
     saveSnapshotIfDue();
-    syncing = undefined;
+    effectsInSync = undefined;
     runBatch();
   }
 
@@ -192,10 +194,10 @@
     return effect.entries.at(-1);
   }
 
-  function carryOut(effect: QuorumEffect): void {
+  function execute(effect: QuorumEffect): void {
     switch (effect.type) {
       case "send":
-        if (!isEarly(effect)) listener.send(effect.message);
+        if (!isSentBeforeSync(effect)) listener.send(effect.message);
         return;
       case "sendSnapshot":
         return sendSnapshot(effect.to);
@@ -212,7 +214,7 @@
       case "readReady":
         return listener.readReady(effect.readId, effect.index);
       case "roleChanged":
-        if (effect.role === "leader") listener.lead(effect.term);
+        if (effect.role === "leader") listener.becameLeader(effect.term);
         return;
       default:
         return;
@@ -221,16 +223,16 @@
 
   function apply(entry: LogEntry): void {
     const result = entry.kind === "command"
-      ? machine.apply(spoil(entry.body))
+      ? machine.apply(corrupt(entry.body))
       : undefined;
     listener.applied(entry, result);
   }
 
-  function spoil(body: string): string {
-    if (sabotage === "forget_answers") {
+  function corrupt(body: string): string {
+    if (injectedFault === "forget_answers") {
       return body.replace(/"changeId":"/, `$&${state.commitIndex}-`);
     }
-    if (sabotage === "grant_twice" && random.chance(0.2)) {
+    if (injectedFault === "grant_twice" && random.chance(0.2)) {
       return body.replace(/"key":"/, "$&again-");
     }
     return body;
@@ -257,19 +259,19 @@
     const log = disk.log.filter((entry) => entry.index > index);
     disk = { ...disk, snapshot: { meta, data: machine.save() }, log };
     snapshotIndex = index;
-    waiting.push({ type: "compact", meta });
+    queuedEvents.push({ type: "compact", meta });
   }
 
   function crash({ losesWrites = false } = {}): void {
-    // A write that was under way may have reached the disk in part.
-    for (const effect of syncing ?? []) {
+    // A part of the writes under way may have reached the disk.
+    for (const effect of effectsInSync ?? []) {
       const isKept = !losesWrites && random.chance(0.5);
       if (effect.type === "persist" && isKept) {
         disk = writeRecord(disk, effect);
       } else if (effect.type === "persist") break;
     }
-    syncing = undefined;
-    waiting = [];
+    effectsInSync = undefined;
+    queuedEvents = [];
     state = startFromDisk();
     snapshotIndex = state.commitIndex;
   }
@@ -280,7 +282,7 @@
     getState: () => state,
     getMachine: () => machine,
     getLocalMs,
-    give,
+    handle,
     sync,
     crash,
   };
--- a/proof/soak.ts
+++ b/proof/soak.ts
@@ -1,6 +1,6 @@
 /**
- * Runs schedules with new seeds for a while: `npm run soak -- --minutes N`.
- * A failing seed is printed; `--seed N` runs that one again.
+ * Runs schedules with new seeds for N minutes: `npm run soak -- --minutes N`. Prints
+ * each failing seed; `--seed N` runs one seed again.
  *
  * @module
  */
@@ -32,15 +32,15 @@
 }
 
 function soak(): void {
-  const untilMs = Date.now() + Number(values.minutes) * 60_000;
+  const endMs = Date.now() + Number(values.minutes) * 60_000;
   let seed = Date.now() % 1_000_000_000;
-  const first = seed;
+  const firstSeed = seed;
   let failures = 0;
-  while (Date.now() < untilMs) {
+  while (Date.now() < endMs) {
     if (!runSeed(seed)) failures += 1;
     seed += 1;
   }
-  print(`${seed - first} seeds from ${first}, ${failures} failed`);
+  print(`${seed - firstSeed} seeds from ${firstSeed}, ${failures} failed`);
   if (failures > 0) process.exitCode = 1;
 }
 
