--- a/demo/apply_trial.ts
+++ b/demo/apply_trial.ts
@@ -1,5 +1,5 @@
 /**
- * Declares resources on a fleet and waits until all entries have them.
+ * Applies resources to a fleet and waits until all entries have them.
  *
  * @module
  */
@@ -14,20 +14,20 @@
 import type { Fleet } from "./launch_fleet.ts";
 import { ACCOUNT_KEY } from "./trial_resources.ts";
 
-/** An entry as callers are told of it. */
+/** An entry in the list that callers get. */
 export interface NamedEntry {
   readonly vm: string;
   readonly address: string;
 }
 
-/** What a fleet is after its resources are in force. */
+/** Result of {@link applyTrial}. */
 export interface AppliedTrial {
   readonly applied: readonly AppliedResource[];
-  /** Entries for the service, the best first. */
+  /** Entries for the service in the order of preference. */
   readonly entries: readonly NamedEntry[];
 }
 
-/** Declares resources on a fleet and waits until all entries have them. */
+/** Applies resources to a fleet and waits until all entries have them. */
 export async function applyTrial(
   fleet: Fleet,
   resources: readonly DeclaredResource[],
@@ -44,7 +44,7 @@
     return status.inForceRevision >= revision;
   });
   let entries: readonly NamedEntry[] = [];
-  await fleet.until("all entries are named", async () => {
+  await fleet.until("every entry lists all entries", async () => {
     for (const { address } of fleet.entries) {
       entries = await listEntries(address, options.service);
       if (entries.length < fleet.entries.length) return false;
@@ -54,7 +54,7 @@
   return { applied, entries };
 }
 
-/** Asks an entry which entries to use. */
+/** Requests the list of entries for a service from an entry. */
 export async function listEntries(
   address: string,
   service: string,
--- a/demo/find_free_ports.ts
+++ b/demo/find_free_ports.ts
@@ -7,18 +7,18 @@
 import { createServer } from "node:net";
 import process from "node:process";
 
-/** Ports that are tried: below those that outgoing connections take. */
+/** Range of candidates: below the ephemeral ports of outgoing connections. */
 const FIRST_PORT = 20_000;
 const LAST_PORT = 32_000;
 
-// Launchers that run side by side begin at unlike places.
+// Processes that run in parallel start at different ports.
 let nextPort = FIRST_PORT +
   (process.pid * 97) % (LAST_PORT - FIRST_PORT);
 
 /**
- * Finds ports that are free now and that no other connection will take.
+ * Finds ports that are free now and outside the range of outgoing connections.
  *
- * @param count - Ports that are wanted.
+ * @param count - Number of ports.
  * @returns The ports.
  * @throws Nothing.
  * @example
--- a/demo/launch_fleet.ts
+++ b/demo/launch_fleet.ts
@@ -1,6 +1,6 @@
 /**
- * Launches a fleet of real processes on loopback addresses, for the demo, the
- * tests and the measurements. The product itself starts no process.
+ * Launches a fleet of real processes on loopback addresses, for the demo, the tests
+ * and the measurements. The product itself starts no processes.
  *
  * @module
  */
@@ -19,17 +19,17 @@
 import { findFreePorts } from "./find_free_ports.ts";
 import { until } from "./until.ts";
 
-/** Token of the fleet's first operator. */
+/** Token of the bootstrap operator. */
 export const OPERATOR_TOKEN = "operator-of-the-trial";
 
 /** A process of the fleet. */
 export interface FleetProcess {
   readonly name: string;
-  /** `host:port` that operators or callers use. */
+  /** `host:port` for operators or callers. */
   readonly address: string;
   getProcessId(): number;
   kill(signal: NodeJS.Signals): void;
-  /** Resolves with the exit code once it has ended. */
+  /** Resolves with the exit code once the process has exited. */
   readonly ended: () => Promise<number>;
   start(extra?: readonly string[]): void;
   getLog(): string;
@@ -42,14 +42,14 @@
   readonly entries: readonly FleetProcess[];
   readonly operator: OperatorClient;
   readonly folder: string;
-  /** Where entries reach the control processes. */
+  /** Addresses at which entries reach the control processes. */
   readonly peerAddresses: readonly string[];
-  /** Starts one more entry, which the fleet's end does not stop. */
+  /** Starts one more entry, which disposing of the fleet does not stop. */
   launchEntry(
     vm: string,
     settings: Readonly<Record<string, unknown>>,
   ): Promise<FleetProcess>;
-  /** Waits until a condition holds. */
+  /** Waits until a condition holds; see {@link until}. */
   until(what: string, test: () => Promise<boolean> | boolean): Promise<void>;
 }
 
@@ -59,16 +59,16 @@
   readonly entries?: number;
   readonly platformListUrl?: string;
   readonly places?: readonly string[];
-  /** Whether the entries keep their last configuration on a disk. */
+  /** Whether the entries store their last configuration on disk. */
   readonly entryDisks?: boolean;
-  /** Further settings of every entry or control process. */
+  /** Additional settings of every entry or control process. */
   readonly entrySettings?: Readonly<Record<string, unknown>>;
   readonly controlSettings?: Readonly<Record<string, unknown>>;
 }
 
 const BIN_FOLDER = fileURLToPath(new URL("../src/bin/", import.meta.url));
 
-/** Launches a fleet and waits until it leads and all entries are live. */
+/** Launches a fleet and waits until all voters and entries have joined. */
 export async function launchFleet(
   options: LaunchFleetOptions = {},
 ): Promise<Fleet> {
@@ -80,7 +80,7 @@
     peerAddress: `127.0.0.1:${ports[at * 2]}`,
     operatorAddress: `127.0.0.1:${ports[at * 2 + 1]}`,
   }));
-  const common = (vm: string, at: number) => ({
+  const getCommonSettings = (vm: string, at: number) => ({
     fleetId: "trial",
     vm,
     place: places[at % places.length],
@@ -90,7 +90,7 @@
     controlVms.map(async ({ vm }, at) => {
       const dataFolder = join(folder, vm);
       const settings = {
-        ...common(vm, at),
+        ...getCommonSettings(vm, at),
         dataFolder,
         peerListen: { host: "127.0.0.1", port: ports[at * 2] },
         listen: { host: "127.0.0.1", port: ports[at * 2 + 1] },
@@ -99,7 +99,7 @@
         bootstrapOperatorTokenSha256: hashSecret(OPERATOR_TOKEN),
         ...options.controlSettings,
       };
-      return await makeProcess({
+      return await createProcess({
         program: "crowlever_control.js",
         settings,
         folder,
@@ -112,14 +112,14 @@
       const vm = `entry-${at + 1}`;
       const port = ports[controls * 2 + at];
       const settings = {
-        ...common(vm, at),
+        ...getCommonSettings(vm, at),
         listen: { host: "127.0.0.1", port },
         controlAddresses: controlVms.map((control) => control.peerAddress),
         dataFolder: options.entryDisks ? join(folder, vm) : undefined,
         entriesTtlMs: 500,
         ...options.entrySettings,
       };
-      return await makeProcess({
+      return await createProcess({
         program: "crowlever_entry.js",
         settings,
         folder,
@@ -142,14 +142,14 @@
     async launchEntry(vm, extra) {
       const [port] = await findFreePorts(1);
       const settings = {
-        ...common(vm, 0),
+        ...getCommonSettings(vm, 0),
         listen: { host: "127.0.0.1", port },
         controlAddresses: controlVms.map((control) => control.peerAddress),
         ...extra,
       };
       const address = `127.0.0.1:${port}`;
       const program = "crowlever_entry.js";
-      const entry = await makeProcess({ program, settings, folder, address });
+      const entry = await createProcess({ program, settings, folder, address });
       entry.start();
       return entry;
     },
@@ -165,7 +165,10 @@
   );
   entryProcesses.forEach((child) => child.start());
   try {
-    await until("all voters and entries are there", () => isWhole(fleet));
+    await until(
+      "all voters and entries have joined",
+      () => hasAllJoined(fleet),
+    );
   } catch (error) {
     for (const child of all) process.stderr.write(child.getLog());
     await fleet[Symbol.asyncDispose]();
@@ -179,7 +182,7 @@
   readonly entries: readonly unknown[];
 }
 
-async function isWhole(fleet: Fleet): Promise<boolean> {
+async function hasAllJoined(fleet: Fleet): Promise<boolean> {
   const status = await fleet.operator.call<Status>({ path: "/v1/status" });
   const voters = status.members.filter((member) => member.role === "voter");
   return voters.length === fleet.controls.length &&
@@ -187,7 +190,7 @@
     status.entries.length === fleet.entries.length;
 }
 
-async function makeProcess(
+async function createProcess(
   options: {
     program: string;
     settings: { vm: string; dataFolder?: string };
--- a/demo/main.ts
+++ b/demo/main.ts
@@ -1,5 +1,6 @@
 /**
- * The demo: a fleet of real processes, a configuration, real requests.
+ * The demo: launches a fleet of real processes, applies a configuration and sends
+ * requests.
  *
  * @module
  */
--- a/demo/send_request.ts
+++ b/demo/send_request.ts
@@ -1,5 +1,5 @@
 /**
- * Sends a request as a caller would, for the demo and the tests.
+ * Sends a request as a caller, for the demo and the tests.
  *
  * @module
  */
@@ -7,7 +7,7 @@
 import { request } from "undici";
 import { ACCOUNT_KEY } from "./trial_resources.ts";
 
-/** What an entry answered. */
+/** The answer of an entry. */
 export interface Answer {
   readonly status: number;
   readonly headers: Readonly<Record<string, unknown>>;
@@ -22,7 +22,7 @@
   readonly headers?: Readonly<Record<string, string>>;
 }
 
-/** Sends a request with the trial's key. */
+/** Sends a request with the API key of the demo's client account. */
 export async function send(
   url: string,
   options: SendOptions = {},
--- a/demo/trial_resources.ts
+++ b/demo/trial_resources.ts
@@ -1,6 +1,6 @@
 /**
- * The resources of the trial fleet: a model over three stages, a plain
- * service, two client accounts.
+ * The resources of the demo fleet: a model in three stages, a plain service and a
+ * client account.
  *
  * @module
  */
@@ -8,20 +8,20 @@
 import type { DeclaredResource } from "../src/cli/apply_resources.ts";
 import { hashSecret } from "../src/http/index.ts";
 
-/** Key of the trial's client account. */
+/** API key of the demo's client account. */
 export const ACCOUNT_KEY = "key-of-the-dock";
 
-/** Layers of the trial's model. */
+/** Number of layers of the demo's model. */
 export const LAYER_COUNT = 12;
 
-/** Where the stand-ins are. */
+/** Addresses of the stand-ins. */
 export interface TrialUpstreams {
-  /** Addresses of engines, a list for each of the three ranges. */
+  /** Addresses of engines, one list per range of layers. */
   readonly stages: readonly (readonly string[])[];
   readonly plain: readonly string[];
 }
 
-/** Gets the resources of the trial fleet. */
+/** Returns the resources of the demo fleet. */
 export function getTrialResources(
   upstreams: TrialUpstreams,
 ): DeclaredResource[] {
--- a/demo/until.ts
+++ b/demo/until.ts
@@ -1,18 +1,18 @@
 /**
- * Waits for what processes do in their own time.
+ * Polls conditions that other processes bring about.
  *
  * @module
  */
 
 import { setTimeout as sleep } from "node:timers/promises";
 
-/** Time, in ms, for a condition to come true. */
+/** Time limit, in ms, for a condition to hold. */
 const UNTIL_TIMEOUT_MS = 30_000;
 
 /**
- * Waits until a condition holds; one that throws does not hold yet.
+ * Waits until a condition holds; a condition that throws does not hold yet.
  *
- * @param what - The condition in words, for the error.
+ * @param what - Description of the condition, for the error.
  * @param test - Whether it holds.
  * @returns A promise that resolves once it holds.
  * @throws {Error} When it does not hold in time.
@@ -28,5 +28,5 @@
     if (await Promise.resolve(test()).catch(() => false)) return;
     await sleep(20);
   }
-  throw new Error(`Waited in vain until ${what}`);
+  throw new Error(`Timed out waiting until ${what}`);
 }
