--- a/standins/start_layer_engine.ts
+++ b/standins/start_layer_engine.ts
@@ -41,9 +41,9 @@
   hidesLimitWhenFull?: boolean;
   /** Announces the limit in answers to status queries and orders too. */
   announcesLimitToAll?: boolean;
-  /** Address of an engine for which all streams here wait. */
+  /** Address of an engine; while set, all streams here stall waiting for it. */
   stalledFor?: string;
-  /** Leaves the streams that wait out of its reports. */
+  /** Omits stalled streams from its reports. */
   hidesStalled?: boolean;
   /** Crashes when it starts to run a request with one of these bodies. */
   crashesOnBodies?: readonly string[];
--- a/test/support/run_rest_soak.ts
+++ b/test/support/run_rest_soak.ts
@@ -178,15 +178,16 @@
 ): Pick<RestSoakReport, "rests" | "worstRest"> {
   const counts = engines.flatMap((engine) => {
     const requests = listRequests(engine);
-    return requests.flatMap((asked) => {
-      const backOffMs = BACK_OFFS_MS.get(asked.sentRetryAfter?.join() ?? "") ??
-        0;
+    return requests.flatMap((rejection) => {
+      const backOffMs =
+        BACK_OFFS_MS.get(rejection.sentRetryAfter?.join() ?? "") ??
+          0;
       if (backOffMs === 0) return [];
-      const fromMs = asked.atMs + IN_FLIGHT_MS;
+      const fromMs = rejection.atMs + IN_FLIGHT_MS;
       return requests.filter((one) =>
-        one.atMs > fromMs && one.atMs < asked.atMs + backOffMs &&
-        one.incarnationStartMs === asked.incarnationStartMs &&
-        isOfSameGateway(one, asked)
+        one.atMs > fromMs && one.atMs < rejection.atMs + backOffMs &&
+        one.incarnationStartMs === rejection.incarnationStartMs &&
+        isOfSameGateway(one, rejection)
       ).length;
     });
   });
