--- a/measure/capacity.ts
+++ b/measure/capacity.ts
@@ -1,6 +1,7 @@
 /**
- * Slopes of control: what it costs for each entry, account, engine and change.
- * Many real agents in one process hold sessions with real control processes.
+ * Capacity of the control plane: what each additional entry, client account and
+ * configuration change costs. One process runs many real agents, which hold
+ * sessions with real control processes.
  *
  * @module
  */
@@ -21,30 +22,30 @@
 import { readStatus } from "./failover_scenarios.ts";
 import { printTable, type TableRow } from "./print_table.ts";
 import {
+  readCpuTimeMs,
   readLoopbackBytes,
-  readProcessorMs,
   readResidentMb,
 } from "./process_meter.ts";
 
-/** Numbers of entries at which control is measured. */
+/** Numbers of entries at which the control processes are measured. */
 const ENTRY_COUNTS = [50, 150, 330];
 
-/** Ms of a reading. */
-const READING_MS = 10_000;
+/** Time over which resource usage is sampled, in ms. */
+const SAMPLE_DURATION_MS = 10_000;
 
 /** Client accounts that each measured entry reports demand for. */
 const ACTIVE_ACCOUNTS = 20;
 
-/** Changes of which the time until they are in force is taken. */
-const CHANGES = 40;
+/** Changes whose time to take effect at all entries is measured. */
+const CHANGE_COUNT = 40;
 
-interface Crowd extends AsyncDisposable {
+interface AgentGroup extends AsyncDisposable {
   readonly agents: readonly Agent[];
   readonly configs: readonly ConfigReplica[];
 }
 
-function startCrowd(fleet: Fleet, count: number): Crowd {
-  const log = createLogger({ program: "crowd", level: "error" });
+function startAgents(fleet: Fleet, count: number): AgentGroup {
+  const log = createLogger({ program: "agents", level: "error" });
   const metrics = createMetrics();
   const configs = Array.from({ length: count }, () => createConfigReplica());
   const demandPerS = Object.fromEntries(
@@ -59,7 +60,7 @@
       controlAddresses: fleet.peerAddresses,
     });
     const settings = parseSettings(text, {
-      file: "crowd",
+      file: "agents",
       schema: EntrySettingsSchema,
     });
     const agent = createAgent({
@@ -87,47 +88,51 @@
 
 async function findProcessIds(fleet: Fleet) {
   const { leader } = await readStatus(fleet);
-  const leading = fleet.controls.find((control) => control.name === leader);
-  const following = fleet.controls.find((control) => control.name !== leader);
+  const leaderProcess = fleet.controls.find((control) =>
+    control.name === leader
+  );
+  const followerProcess = fleet.controls.find((control) =>
+    control.name !== leader
+  );
   return {
-    leader: leading?.getProcessId() ?? 0,
-    follower: following?.getProcessId() ?? 0,
+    leader: leaderProcess?.getProcessId() ?? 0,
+    follower: followerProcess?.getProcessId() ?? 0,
   };
 }
 
-/** Measures the slopes of control. */
+/** Measures what entries, changes and resources cost the control plane. */
 export async function measureCapacity(): Promise<void> {
   await using fleet = await launchFleet({ entries: 0 });
-  const rows: TableRow[] = [await readRow(fleet, 0)];
+  const rows: TableRow[] = [await measureRow(fleet, 0)];
   const changeRows: TableRow[] = [];
   for (const count of ENTRY_COUNTS) {
-    await using crowd = startCrowd(fleet, count);
+    await using group = startAgents(fleet, count);
     await fleet.until("all entries are live", async () => {
       const { entries } = await readStatus(fleet);
       return entries.length === count;
     });
     await sleep(3_000);
-    rows.push(await readRow(fleet, count));
-    changeRows.push(await measureChanges(fleet, crowd));
+    rows.push(await measureRow(fleet, count));
+    changeRows.push(await measureChanges(fleet, group));
   }
   printTable(rows);
   printTable(changeRows);
   printTable(await measureState(fleet));
 }
 
-async function readRow(fleet: Fleet, entries: number): Promise<TableRow> {
+async function measureRow(fleet: Fleet, entries: number): Promise<TableRow> {
   const ids = await findProcessIds(fleet);
-  const before = await readAll(ids);
-  await sleep(READING_MS);
-  const after = await readAll(ids);
+  const before = await readCounters(ids);
+  await sleep(SAMPLE_DURATION_MS);
+  const after = await readCounters(ids);
   const percent = (a: number, b: number) =>
-    (((b - a) / READING_MS) * 100).toFixed(2);
-  const perS = (after.bytes - before.bytes) / (READING_MS / 1_000);
+    (((b - a) / SAMPLE_DURATION_MS) * 100).toFixed(2);
+  const perS = (after.bytes - before.bytes) / (SAMPLE_DURATION_MS / 1_000);
   return {
     entries,
     "leader % of a core": percent(before.leaderMs, after.leaderMs),
     "follower % of a core": percent(before.followerMs, after.followerMs),
-    "all agents % of a core": percent(before.ownMs, after.ownMs),
+    "all agents % of a core": percent(before.agentsMs, after.agentsMs),
     "loopback bytes/s": Math.round(perS),
     "bytes/s an entry": entries === 0 ? "" : Math.round(perS / entries),
     "leader MB": after.leaderMb.toFixed(0),
@@ -135,24 +140,27 @@
   };
 }
 
-async function readAll(ids: { leader: number; follower: number }) {
+async function readCounters(ids: { leader: number; follower: number }) {
   const { user, system } = process.cpuUsage();
   return {
-    leaderMs: await readProcessorMs(ids.leader),
-    followerMs: await readProcessorMs(ids.follower),
-    ownMs: (user + system) / 1_000,
+    leaderMs: await readCpuTimeMs(ids.leader),
+    followerMs: await readCpuTimeMs(ids.follower),
+    agentsMs: (user + system) / 1_000,
     bytes: await readLoopbackBytes(),
     leaderMb: await readResidentMb(ids.leader),
     heapMb: process.memoryUsage().heapUsed / 2 ** 20,
   };
 }
 
-async function measureChanges(fleet: Fleet, crowd: Crowd): Promise<TableRow> {
+async function measureChanges(
+  fleet: Fleet,
+  group: AgentGroup,
+): Promise<TableRow> {
   const histogram = build({ numberOfSignificantValueDigits: 3 });
   const bytesBefore = await readLoopbackBytes();
   const startedMs = performance.now();
-  for (let change = 0; change < CHANGES; change++) {
-    const name = `account-${crowd.agents.length}-${change}`;
+  for (let change = 0; change < CHANGE_COUNT; change++) {
+    const name = `account-${group.agents.length}-${change}`;
     const spec = { keySha256: [hashSecret(name)], requestsPerS: 10 };
     const { revision } = await fleet.operator.call<{ revision: number }>({
       method: "PUT",
@@ -160,7 +168,7 @@
       body: { spec, revision: 0 },
     });
     const acceptedMs = performance.now();
-    while (crowd.configs.some((one) => one.getState().revision < revision)) {
+    while (group.configs.some((one) => one.getState().revision < revision)) {
       await sleep(1);
     }
     const inForceMs = performance.now() - acceptedMs;
@@ -170,17 +178,18 @@
   const elapsedS = (performance.now() - startedMs) / 1_000;
   const bytes = await readLoopbackBytes() - bytesBefore;
   return {
-    entries: crowd.agents.length,
+    entries: group.agents.length,
     "in force p50 ms": histogram.getValueAtPercentile(50) / 10,
     "in force p99 ms": histogram.getValueAtPercentile(99) / 10,
     "bytes/s an entry, with changes": Math.round(
-      bytes / elapsedS / crowd.agents.length,
+      bytes / elapsedS / group.agents.length,
     ),
-    "changes a second": (CHANGES / elapsedS).toFixed(1),
+    "changes a second": (CHANGE_COUNT / elapsedS).toFixed(1),
   };
 }
 
-// What the accepted state costs an entry: its size as text and on the heap.
+// Measures what the accepted state costs an entry: bytes transferred, processor
+// time and heap.
 async function measureState(fleet: Fleet): Promise<TableRow[]> {
   const rows: TableRow[] = [];
   for (const accounts of [100, 300, 920]) {
@@ -189,18 +198,18 @@
     const heapBefore = process.memoryUsage().heapUsed;
     const cpuBefore = process.cpuUsage();
     const bytesBefore = await readLoopbackBytes();
-    await using crowd = startCrowd(fleet, 20);
+    await using group = startAgents(fleet, 20);
     await fleet.until(
-      "the entries have the state",
+      "all entries have received the state",
       () =>
-        crowd.configs.every((one) => one.getState().resources.size >= accounts),
+        group.configs.every((one) => one.getState().resources.size >= accounts),
     );
     const bytes = await readLoopbackBytes() - bytesBefore;
     const cpu = process.cpuUsage(cpuBefore);
     globalThis.gc?.();
     const heap = process.memoryUsage().heapUsed - heapBefore;
     rows.push({
-      "resources": crowd.configs[0].getState().resources.size,
+      "resources": group.configs[0].getState().resources.size,
       "bytes to an entry": Math.round(bytes / 20),
       "ms of processor an entry": ((cpu.user + cpu.system) / 20_000).toFixed(1),
       "heap KB an entry": Math.round(heap / 20 / 1_024),
@@ -213,11 +222,11 @@
   const { items } = await fleet.operator.call<{ items: { name: string }[] }>({
     path: "/v1/resources/clientAccount",
   });
-  const known = new Set(items.map((item) => item.name));
-  for (let at = 0; known.size < count; at++) {
+  const existingNames = new Set(items.map((item) => item.name));
+  for (let at = 0; existingNames.size < count; at++) {
     const name = `customer-${at}`;
-    if (known.has(name)) continue;
-    known.add(name);
+    if (existingNames.has(name)) continue;
+    existingNames.add(name);
     const spec = { keySha256: [hashSecret(name)], requestsPerS: 10, weight: 1 };
     await fleet.operator.call({
       method: "PUT",
--- a/measure/failover.ts
+++ b/measure/failover.ts
@@ -1,5 +1,5 @@
 /**
- * Recovery of control after failures, with real binaries.
+ * Recovery of the control plane after failures, with real binaries.
  *
  * @module
  */
@@ -15,10 +15,10 @@
 } from "./failover_scenarios.ts";
 import { printTable } from "./print_table.ts";
 
-/** Entries of the measured fleet. */
+/** Number of entries in the measured fleet. */
 const ENTRIES = 11;
 
-/** Measures the recovery of control. */
+/** Measures the recovery of the control plane. */
 export async function measureFailover(): Promise<void> {
   await using fleet = await launchFleet({ entries: ENTRIES });
   const reports: FailoverReport[] = [];
--- a/measure/failover_scenarios.ts
+++ b/measure/failover_scenarios.ts
@@ -1,6 +1,7 @@
 /**
  * Failures of control processes under a stream of changes, with real binaries.
- * Each scenario checks that no accepted change is lost, doubled or reverted.
+ * Each scenario checks that no accepted change is lost, applied twice or
+ * reverted.
  *
  * @module
  */
@@ -10,7 +11,7 @@
 import type { Fleet, FleetProcess } from "../demo/launch_fleet.ts";
 import { hashSecret } from "../src/http/index.ts";
 
-/** What a scenario measured. */
+/** Result of a scenario. */
 export interface FailoverReport {
   readonly scenario: string;
   readonly accepted: number;
@@ -20,18 +21,18 @@
   readonly medianGapMs: number;
 }
 
-/** Something that must hold did not. */
+/** An invariant was violated in a scenario. */
 export class FailoverViolation extends Error {}
 
-interface Accepted {
+interface AcceptedChange {
   readonly name: string;
   readonly revision: number;
   readonly atMs: number;
 }
 
-/** A stream of changes that goes on until it is stopped. */
+/** Sends changes one after the other until it is stopped. */
 interface ChangeStream {
-  readonly accepted: Accepted[];
+  readonly accepted: AcceptedChange[];
   stop(): Promise<void>;
 }
 
@@ -43,25 +44,25 @@
   readonly entries: readonly unknown[];
 }
 
-/** Reads the fleet's status. */
+/** Reads the status of the fleet through the operator API. */
 export function readStatus(fleet: Fleet): Promise<Status> {
   return fleet.operator.call<Status>({ path: "/v1/status" });
 }
 
 function startChanges(fleet: Fleet, prefix: string): ChangeStream {
-  const accepted: Accepted[] = [];
+  const accepted: AcceptedChange[] = [];
   let stopped = false;
   async function run(): Promise<void> {
     for (let count = 0; !stopped; count++) {
       const name = `${prefix}-${count}`;
       const spec = { keySha256: [hashSecret(name)] };
-      const answer = await fleet.operator.call<{ revision: number }>({
+      const response = await fleet.operator.call<{ revision: number }>({
         method: "PUT",
         path: `/v1/resources/clientAccount/${name}`,
         body: { spec, revision: 0 },
         changeId: `change-${name}`,
       });
-      const { revision } = answer;
+      const { revision } = response;
       accepted.push({ name, revision, atMs: performance.now() });
       await sleep(2);
     }
@@ -79,12 +80,12 @@
 async function findLeader(fleet: Fleet): Promise<FleetProcess> {
   const { leader } = await readStatus(fleet);
   const found = fleet.controls.find((control) => control.name === leader);
-  if (!found) throw new Error(`No process is called ${leader}`);
+  if (!found) throw new Error(`no control process is named ${leader}`);
   return found;
 }
 
-async function untilWhole(fleet: Fleet): Promise<void> {
-  await fleet.until("all voters are back", async () => {
+async function waitForAllVoters(fleet: Fleet): Promise<void> {
+  await fleet.until("all control processes are voters again", async () => {
     const { members } = await readStatus(fleet);
     return members.length === fleet.controls.length &&
       members.every((member) => member.role === "voter");
@@ -93,7 +94,7 @@
 
 async function checkAccepted(
   fleet: Fleet,
-  accepted: readonly Accepted[],
+  accepted: readonly AcceptedChange[],
 ): Promise<void> {
   const { items } = await fleet.operator.call<{
     items: { name: string; revision: number; generation: number }[];
@@ -101,40 +102,46 @@
   const byName = new Map(items.map((item) => [item.name, item]));
   for (const { name, revision } of accepted) {
     const found = byName.get(name);
-    if (!found) throw new FailoverViolation(`Change ${name} was lost`);
+    if (!found) throw new FailoverViolation(`accepted change ${name} was lost`);
     if (found.revision !== revision || found.generation !== 1) {
-      throw new FailoverViolation(`Change ${name} was doubled or moved`);
+      throw new FailoverViolation(
+        `accepted change ${name} was applied twice or has another revision`,
+      );
     }
   }
   const revisions = accepted.map((change) => change.revision);
-  const rising = revisions.every((revision, at) =>
+  const isIncreasing = revisions.every((revision, at) =>
     at === 0 || revision > revisions[at - 1]
   );
-  if (!rising) throw new FailoverViolation("A revision was reverted");
-  await fleet.until("all is in force at the entries", async () => {
-    const status = await readStatus(fleet);
-    return status.entries.length === fleet.entries.length &&
-      status.inForceRevision === status.acceptedRevision;
-  });
-  for (const entry of fleet.entries) checkEntry(entry);
+  if (!isIncreasing) throw new FailoverViolation("a revision was reverted");
+  await fleet.until(
+    "the accepted revision is in force at all entries",
+    async () => {
+      const status = await readStatus(fleet);
+      return status.entries.length === fleet.entries.length &&
+        status.inForceRevision === status.acceptedRevision;
+    },
+  );
+  for (const entry of fleet.entries) checkRevisionOrder(entry);
 }
 
-// An entry's log names each revision that came into force, start by start.
-function checkEntry(entry: FleetProcess): void {
+// An entry logs each revision that takes effect (CL1406); revisions must never
+// decrease, also across restarts.
+function checkRevisionOrder(entry: FleetProcess): void {
   let highest = -1;
   for (const line of entry.getLog().split("\n")) {
     const revision = /CL1406.* revision=(\d+)/.exec(line)?.[1];
     if (revision === undefined) continue;
     if (Number(revision) < highest) {
-      throw new FailoverViolation(`${entry.name} went back to ${revision}`);
+      throw new FailoverViolation(`${entry.name} reverted to ${revision}`);
     }
     highest = Number(revision);
   }
 }
 
-function report(
+function createReport(
   scenario: string,
-  accepted: readonly Accepted[],
+  accepted: readonly AcceptedChange[],
 ): FailoverReport {
   const gaps = accepted.slice(1)
     .map((change, at) => change.atMs - accepted[at].atMs)
@@ -147,112 +154,128 @@
   };
 }
 
-async function untilAccepted(
+async function waitForAccepted(
   stream: ChangeStream,
   count: number,
 ): Promise<void> {
   while (stream.accepted.length < count) await sleep(5);
 }
 
-/** Kills the leader in the midst of changes and starts it again. */
+/** Kills the leader while changes are being made, then restarts it. */
 export async function killLeader(
   fleet: Fleet,
   options: { changes: number },
 ): Promise<FailoverReport> {
   const prefix = `kill-${Date.now().toString(36)}`;
   const stream = startChanges(fleet, prefix);
-  await untilAccepted(stream, Math.floor(options.changes / 3));
+  await waitForAccepted(stream, Math.floor(options.changes / 3));
   const leader = await findLeader(fleet);
   leader.kill("SIGKILL");
   await leader.ended();
-  await untilAccepted(stream, Math.floor((options.changes * 2) / 3));
+  await waitForAccepted(stream, Math.floor((options.changes * 2) / 3));
   leader.start();
-  await untilAccepted(stream, options.changes);
+  await waitForAccepted(stream, options.changes);
   await stream.stop();
-  await untilWhole(fleet);
+  await waitForAllVoters(fleet);
   await checkAccepted(fleet, stream.accepted);
-  return report("leader killed during changes", stream.accepted);
+  return createReport("leader killed during changes", stream.accepted);
 }
 
-/** Freezes the leader for a while, then lets it go on. */
+/** Suspends the leader with SIGSTOP for `frozenMs`, then resumes it. */
 export async function freezeLeader(
   fleet: Fleet,
   options: { frozenMs: number },
 ): Promise<FailoverReport> {
   const stream = startChanges(fleet, `freeze-${Date.now().toString(36)}`);
-  await untilAccepted(stream, 30);
+  await waitForAccepted(stream, 30);
   const leader = await findLeader(fleet);
   leader.kill("SIGSTOP");
   await sleep(options.frozenMs);
   leader.kill("SIGCONT");
-  await untilAccepted(stream, stream.accepted.length + 30);
+  await waitForAccepted(stream, stream.accepted.length + 30);
   await stream.stop();
-  await untilWhole(fleet);
+  await waitForAllVoters(fleet);
   await checkAccepted(fleet, stream.accepted);
-  return report("leader frozen and woken", stream.accepted);
+  return createReport("leader frozen and woken", stream.accepted);
 }
 
 /**
- * Removes a follower's data folder; as soon as it is a voter again, the leader
- * is lost for good together with its disk.
+ * Deletes the data folder of a follower and, once its replacement is a voter,
+ * that of the leader.
  */
 export async function loseDisksInTurn(fleet: Fleet): Promise<FailoverReport> {
   const stream = startChanges(fleet, `disks-${Date.now().toString(36)}`);
-  await untilAccepted(stream, 30);
+  await waitForAccepted(stream, 30);
   const leader = await findLeader(fleet);
   const follower = fleet.controls.find((control) => control !== leader);
-  if (!follower) throw new Error("There is no follower");
-  await loseDisk(fleet, follower);
-  await loseDisk(fleet, leader);
-  await untilAccepted(stream, stream.accepted.length + 30);
+  if (!follower) throw new Error("no follower found in the fleet");
+  await wipeDataFolder(fleet, follower);
+  await wipeDataFolder(fleet, leader);
+  await waitForAccepted(stream, stream.accepted.length + 30);
   await stream.stop();
   await checkAccepted(fleet, stream.accepted);
-  return report("two disks lost one after the other's repair", stream.accepted);
+  return createReport(
+    "two disks lost one after the other's repair",
+    stream.accepted,
+  );
 }
 
-// Loses a process with its disk and waits until a new replica votes for it.
-async function loseDisk(fleet: Fleet, control: FleetProcess): Promise<void> {
+// Kills a control process, deletes its data folder, restarts it and waits until
+// its new replica is a voter.
+async function wipeDataFolder(
+  fleet: Fleet,
+  control: FleetProcess,
+): Promise<void> {
   const before = await readStatus(fleet);
-  const lost = before.members.find((member) => member.vm === control.name);
+  const wipedMember = before.members.find((member) =>
+    member.vm === control.name
+  );
   control.kill("SIGKILL");
   await control.ended();
   await rm(control.dataFolder, { recursive: true });
   control.start();
-  await fleet.until("the lost replica is replaced", async () => {
-    const { members } = await readStatus(fleet);
-    return members.length === fleet.controls.length &&
-      members.every(({ id, role }) => id !== lost?.id && role === "voter");
-  });
+  await fleet.until(
+    "the wiped replica is replaced by a new voter",
+    async () => {
+      const { members } = await readStatus(fleet);
+      return members.length === fleet.controls.length &&
+        members.every(({ id, role }) =>
+          id !== wipedMember?.id && role === "voter"
+        );
+    },
+  );
 }
 
-/** Stops the leader as planned, then starts it again. */
+/** Stops the leader gracefully with SIGTERM, then restarts it. */
 export async function stopLeader(fleet: Fleet): Promise<FailoverReport> {
   const stream = startChanges(fleet, `stop-${Date.now().toString(36)}`);
-  await untilAccepted(stream, 30);
+  await waitForAccepted(stream, 30);
   const leader = await findLeader(fleet);
   leader.kill("SIGTERM");
   const code = await leader.ended();
   if (code !== 0) {
-    throw new FailoverViolation(`A planned stop ended with ${code}`);
+    throw new FailoverViolation(
+      `graceful stop exited with code ${code}`,
+    );
   }
-  await untilAccepted(stream, stream.accepted.length + 30);
+  await waitForAccepted(stream, stream.accepted.length + 30);
   leader.start();
   await stream.stop();
-  await untilWhole(fleet);
+  await waitForAllVoters(fleet);
   await checkAccepted(fleet, stream.accepted);
-  return report("leader stopped as planned", stream.accepted);
+  return createReport("leader stopped as planned", stream.accepted);
 }
 
-/** Kills all control processes at once and starts them again. */
+/** Kills all control processes at once, then restarts them. */
 export async function killAll(fleet: Fleet): Promise<FailoverReport> {
   const stream = startChanges(fleet, `all-${Date.now().toString(36)}`);
-  await untilAccepted(stream, 30);
+  await waitForAccepted(stream, 30);
   for (const control of fleet.controls) control.kill("SIGKILL");
   for (const control of fleet.controls) await control.ended();
   for (const control of fleet.controls) control.start();
-  await untilAccepted(stream, stream.accepted.length + 30);
+  await waitForAccepted(stream, stream.accepted.length + 30);
   await stream.stop();
-  await untilWhole(fleet);
+  await waitForAllVoters(fleet);
   await checkAccepted(fleet, stream.accepted);
-  return report("all control processes killed at once", stream.accepted);
+  return createReport("all control processes killed at once", stream.accepted);
 }
--- a/measure/load.ts
+++ b/measure/load.ts
@@ -1,5 +1,6 @@
 /**
- * A small load tool: many requests at once, their latencies, their failures.
+ * Load generator: sends concurrent HTTP requests and measures their latencies
+ * and failures.
  *
  * @module
  */
@@ -7,7 +8,7 @@
 import { build, type Histogram } from "hdr-histogram-js";
 import { Agent, request } from "undici";
 
-/** One request of a load. */
+/** A request that the load generator sends. */
 export interface LoadRequest {
   readonly url: string;
   readonly method?: "GET" | "POST";
@@ -17,40 +18,40 @@
 
 /** Options of {@link runLoad}. */
 export interface RunLoadOptions {
-  /** Requests that are in flight at once. */
+  /** Maximum number of requests in flight. */
   readonly concurrency: number;
   readonly requests: number;
-  /** Requests a second; as many as go by default. */
+  /** Target rate in requests per second; unlimited by default. */
   readonly ratePerS?: number;
   readonly makeRequest: (count: number) => LoadRequest;
-  /** Whether an answer is right. */
-  readonly isRight?: (status: number, text: string) => boolean;
+  /** Whether a response counts as a success; by default, status 200 does. */
+  readonly isExpected?: (status: number, text: string) => boolean;
 }
 
-/** What a load measured. */
+/** Result of a load run. */
 export interface LoadResult {
   readonly perS: number;
   readonly p50Ms: number;
   readonly p99Ms: number;
   readonly wrong: number;
-  /** Time to the first byte of the body, in ms. */
+  /** Median time to the first byte of the body, in ms. */
   readonly firstP50Ms: number;
 }
 
-/** Runs a load. */
+/** Sends the requests and measures latencies, throughput and failures. */
 export async function runLoad(options: RunLoadOptions): Promise<LoadResult> {
   const { concurrency, requests, ratePerS, makeRequest } = options;
-  const { isRight = (status) => status === 200 } = options;
+  const { isExpected = (status) => status === 200 } = options;
   const agent = new Agent({ connections: concurrency, pipelining: 1 });
-  const histogram = makeHistogram();
-  const first = makeHistogram();
-  let wrong = 0;
+  const latencyHistogram = makeHistogram();
+  const firstByte = makeHistogram();
+  let failedCount = 0;
   let sent = 0;
   const startedMs = performance.now();
 
-  async function one(count: number): Promise<void> {
+  async function sendRequest(count: number): Promise<void> {
     const { url, method = "GET", headers, body } = makeRequest(count);
-    const beganMs = performance.now();
+    const sentMs = performance.now();
     const response = await request(url, {
       method,
       headers,
@@ -59,11 +60,11 @@
     });
     let text = "";
     for await (const chunk of response.body) {
-      if (text === "") first.recordValue(toValue(performance.now() - beganMs));
+      if (text === "") firstByte.recordValue(toUs(performance.now() - sentMs));
       text += String(chunk);
     }
-    histogram.recordValue(toValue(performance.now() - beganMs));
-    if (!isRight(response.statusCode, text)) wrong += 1;
+    latencyHistogram.recordValue(toUs(performance.now() - sentMs));
+    if (!isExpected(response.statusCode, text)) failedCount += 1;
   }
 
   async function worker(): Promise<void> {
@@ -76,7 +77,7 @@
           await new Promise((resolve) => setTimeout(resolve, waitMs));
         }
       }
-      await one(count).catch(() => wrong += 1);
+      await sendRequest(count).catch(() => failedCount += 1);
     }
   }
 
@@ -85,10 +86,10 @@
   await agent.close();
   return {
     perS: requests / elapsedS,
-    p50Ms: histogram.getValueAtPercentile(50) / 1_000,
-    p99Ms: histogram.getValueAtPercentile(99) / 1_000,
-    wrong,
-    firstP50Ms: first.getValueAtPercentile(50) / 1_000,
+    p50Ms: latencyHistogram.getValueAtPercentile(50) / 1_000,
+    p99Ms: latencyHistogram.getValueAtPercentile(99) / 1_000,
+    wrong: failedCount,
+    firstP50Ms: firstByte.getValueAtPercentile(50) / 1_000,
   };
 }
 
@@ -96,7 +97,7 @@
   return build({ numberOfSignificantValueDigits: 3 });
 }
 
-// Microseconds.
-function toValue(ms: number): number {
+// Histogram values are integers, in microseconds, of at least 1.
+function toUs(ms: number): number {
   return Math.max(1, Math.round(ms * 1_000));
 }
--- a/measure/main.ts
+++ b/measure/main.ts
@@ -1,5 +1,5 @@
 /**
- * Runs one measurement: `npm run measure -- NAME`.
+ * Entry point of the measurements: `npm run measure -- NAME` runs one.
  *
  * @module
  */
@@ -39,7 +39,9 @@
 const measurement = MEASUREMENTS[name];
 if (!measurement) {
   const names = Object.keys(MEASUREMENTS).join(", ");
-  process.stderr.write(`Usage: npm run measure -- NAME, one of ${names}\n`);
+  process.stderr.write(
+    `usage: npm run measure -- NAME, where NAME is one of ${names}\n`,
+  );
   process.exit(2);
 }
 await measurement();
--- a/measure/print_table.ts
+++ b/measure/print_table.ts
@@ -1,15 +1,15 @@
 /**
- * Prints measurements as a table in Markdown.
+ * Prints measurement results as Markdown tables.
  *
  * @module
  */
 
 import process from "node:process";
 
-/** One row: values by column. */
+/** One row: values by column title. */
 export type TableRow = Readonly<Record<string, string | number>>;
 
-/** Prints rows as a table in Markdown. */
+/** Prints rows as a Markdown table; the first row's keys are its columns. */
 export function printTable(rows: readonly TableRow[]): void {
   if (rows.length === 0) return;
   const columns = Object.keys(rows[0]);
--- a/measure/profile.ts
+++ b/measure/profile.ts
@@ -1,6 +1,7 @@
 /**
- * What the programs of a fleet cost: processor time of a start, of an idle
- * second, of a stream, and in which modules a gateway and the leader spend it.
+ * Resource usage of the programs of a fleet: processor time at start, when idle
+ * and under a load of streams, memory, and CPU profiles by module of a gateway and
+ * a control process.
  *
  * @module
  */
@@ -17,26 +18,26 @@
 import { spawnProgram } from "../scripts/spawn_program.ts";
 import { type LayerEngine, startLayerEngine } from "../standins/index.ts";
 import { printTable, type TableRow } from "./print_table.ts";
-import { readProcessorMs, readResidentMb } from "./process_meter.ts";
+import { readCpuTimeMs, readResidentMb } from "./process_meter.ts";
 import { sumProfile } from "./sum_profile.ts";
 
-/** Gateways of the fleet; the first takes all streams and is measured. */
-const GATEWAYS = 4;
-const CONTROLS = 3;
-const ENGINES = 87;
+/** Number of gateways; the first receives all streams and is profiled. */
+const GATEWAY_COUNT = 4;
+const CONTROL_COUNT = 3;
+const ENGINE_COUNT = 87;
 const PLACES = ["p1", "p2", "p3"];
 
-/** Streams a second at the measured gateway: one of 78 before 179 a second. */
+/** Streams per second at the first gateway: its share of 179 over 78 gateways. */
 const STREAMS_PER_S = 2.3;
-const EVENTS = 45;
+const EVENTS_PER_STREAM = 45;
 const EVENT_INTERVAL_MS = 53;
 
-/** Ms for layers to be held and told once engines have started. */
+/** Time for started engines to load their layers and report them, in ms. */
 const SETTLE_MS = 8_000;
 
-/** Ms of the measured spans. */
-const IDLE_MS = 10_000;
-const LOAD_MS = 20_000;
+/** Durations of the measured idle and load phases, in ms. */
+const IDLE_DURATION_MS = 10_000;
+const LOAD_DURATION_MS = 20_000;
 
 const PORT = { caller: 7_400, control: 7_401, ready: 7_402, peer: 7_403 };
 
@@ -85,16 +86,16 @@
   readonly child: ChildProcess;
 }
 
-/** What the platform runs. */
+/** Launcher script that the platform runs. */
 const LAUNCHER = "target/crowlever.cjs";
 
-/** Bundle whose lines name the modules that they come from. */
+/** Bundle that is not minified and has comments that name the modules. */
 const READABLE_BUNDLE = "bundle.cjs";
 
 const controlIp = (at: number) => `127.0.2.${at + 1}`;
 const gatewayIp = (at: number) => `127.0.1.${at + 1}`;
 const CONTROL_ADDRESSES = Array.from(
-  { length: CONTROLS },
+  { length: CONTROL_COUNT },
   (_, at) => `${controlIp(at)}:${PORT.control}`,
 );
 
@@ -104,13 +105,13 @@
 ): Promise<MeasuredProcess> {
   const { at, folder, isProfiled } = options;
   const name = `${role}-${at}`;
-  const home = join(folder, name);
-  await mkdir(home);
+  const processFolder = join(folder, name);
+  await mkdir(processFolder);
   const ip = role === "entry" ? gatewayIp(at) : controlIp(at);
   const front = `${ip}:${PORT.caller}`;
   const child = await spawnProgram(role, {
     file: isProfiled ? join(folder, "..", READABLE_BUNDLE) : LAUNCHER,
-    folder: home,
+    folder: processFolder,
     settings: {
       nodeId: name,
       zone: PLACES[at % PLACES.length],
@@ -121,14 +122,14 @@
       internalPorts: [PORT.peer],
       seeds: CONTROL_ADDRESSES,
       bootstrap: true,
-      dataDir: role === "control" ? home : "",
+      dataDir: role === "control" ? processFolder : "",
       bounds: { graceS: 1 },
     },
     flags: isProfiled
       ? [
         "--cpu-prof",
         "--cpu-prof-interval=500",
-        `--cpu-prof-dir=${join(home, "profile")}`,
+        `--cpu-prof-dir=${join(processFolder, "profile")}`,
       ]
       : [],
     args: role === "entry" && !isProfiled ? [front] : [],
@@ -147,7 +148,7 @@
 
 function startEngines(): Promise<LayerEngine[]> {
   return Promise.all(
-    Array.from({ length: ENGINES }, (_, at) =>
+    Array.from({ length: ENGINE_COUNT }, (_, at) =>
       startLayerEngine({
         service: "model",
         place: PLACES[at % PLACES.length],
@@ -155,7 +156,7 @@
         card: at % 10 === 0 ? "fast" : at % 3 === 0 ? "middle" : "slow",
         beatIntervalMs: 1_200,
         eventIntervalMs: EVENT_INTERVAL_MS,
-        events: EVENTS,
+        events: EVENTS_PER_STREAM,
       })),
   );
 }
@@ -177,37 +178,38 @@
     },
   );
   const text = await answer.body.text();
-  return answer.statusCode === 200 && text.includes(`id: ${EVENTS}\n`);
+  return answer.statusCode === 200 &&
+    text.includes(`id: ${EVENTS_PER_STREAM}\n`);
 }
 
-/** Sends streams at an even rate; gives how many came whole. */
-async function runStreams(): Promise<{ sent: number; whole: number }> {
+/** Sends streams at a constant rate and counts those received completely. */
+async function runStreams(): Promise<{ sent: number; completed: number }> {
   const agent = new Agent({ connections: 200 });
   const running: Promise<boolean>[] = [];
   const startedMs = performance.now();
-  while (performance.now() - startedMs < LOAD_MS) {
+  while (performance.now() - startedMs < LOAD_DURATION_MS) {
     running.push(sendStream(agent, running.length).catch(() => false));
     await sleep(1_000 / STREAMS_PER_S);
   }
   const results = await Promise.all(running);
   await agent.destroy();
-  return { sent: results.length, whole: results.filter(Boolean).length };
+  return { sent: results.length, completed: results.filter(Boolean).length };
 }
 
-function readAll(
+function readEach(
   processes: readonly MeasuredProcess[],
   read: (processId: number) => Promise<number>,
 ): Promise<number[]> {
   return Promise.all(processes.map(({ child }) => read(child.pid ?? 0)));
 }
 
-async function meter(
+async function measureIncrease(
   processes: readonly MeasuredProcess[],
   work: () => Promise<unknown>,
 ): Promise<number[]> {
-  const before = await readAll(processes, readProcessorMs);
+  const before = await readEach(processes, readCpuTimeMs);
   await work();
-  const after = await readAll(processes, readProcessorMs);
+  const after = await readEach(processes, readCpuTimeMs);
   return after.map((ms, at) => ms - before[at]);
 }
 
@@ -218,17 +220,17 @@
 }
 
 /**
- * Measures what programs cost: first as the platform runs them, then profiled,
- * which takes time of its own.
+ * Measures the resource usage of the programs twice: first as the platform runs
+ * them, then with the CPU profiler, whose overhead distorts the figures.
  */
 export async function measureProfile(): Promise<void> {
   const folder = await mkdtemp(join(tmpdir(), "profile-"));
   build([]);
   build(["--readable", join(folder, READABLE_BUNDLE)]);
   for (const isProfiled of [false, true]) {
-    const home = join(folder, isProfiled ? "profiled" : "metered");
-    await mkdir(home);
-    await measureFleet({ folder: home, isProfiled });
+    const runFolder = join(folder, isProfiled ? "profiled" : "metered");
+    await mkdir(runFolder);
+    await measureFleet({ folder: runFolder, isProfiled });
   }
   await printProfiles(folder);
   await rm(folder, { recursive: true, force: true });
@@ -250,25 +252,30 @@
         (_, at) => startProgram(role, { at, ...options }),
       ),
     );
-  const controls = await start("control", CONTROLS);
-  const gateways = await start("entry", GATEWAYS);
+  const controls = await start("control", CONTROL_COUNT);
+  const gateways = await start("entry", GATEWAY_COUNT);
   const processes = [...controls, ...gateways];
-  await until("a configuration is taken", putConfig);
+  await until("the leader has accepted a configuration", putConfig);
   const engines = await startEngines();
   await sleep(SETTLE_MS);
-  const startMs = await readAll(processes, readProcessorMs);
-  const startMb = await readAll(processes, readResidentMb);
-  const idleMs = await meter(processes, () => sleep(IDLE_MS));
-  let streams = { sent: 0, whole: 0 };
-  const loadedMs = await meter(processes, async () => {
+  const startMs = await readEach(processes, readCpuTimeMs);
+  const startMb = await readEach(processes, readResidentMb);
+  const idleMs = await measureIncrease(
+    processes,
+    () => sleep(IDLE_DURATION_MS),
+  );
+  let streams = { sent: 0, completed: 0 };
+  const loadedMs = await measureIncrease(processes, async () => {
     streams = await runStreams();
   });
-  const endMb = await readAll(processes, readResidentMb);
-  process.stdout.write(`${streams.whole} of ${streams.sent} streams whole\n`);
+  const endMb = await readEach(processes, readResidentMb);
+  process.stdout.write(
+    `${streams.completed} of ${streams.sent} streams completed\n`,
+  );
   printTable(processes.map(({ name }, at): TableRow => ({
     process: name,
     "start and 8 s, ms": startMs[at],
-    "idle ms/s": (idleMs[at] / (IDLE_MS / 1_000)).toFixed(1),
+    "idle ms/s": (idleMs[at] / (IDLE_DURATION_MS / 1_000)).toFixed(1),
     "loaded ms": loadedMs[at],
     MB: startMb[at].toFixed(0),
     "MB after": endMb[at].toFixed(0),
--- a/measure/recovery.ts
+++ b/measure/recovery.ts
@@ -1,6 +1,6 @@
 /**
- * Recovery of a placement after losses: an event-driven run of the repair
- * beside a plan made anew.
+ * Recovery of a layer placement after engines fail: a simulation in virtual time
+ * of the incremental repair, compared with replanning from scratch.
  *
  * @module
  */
@@ -16,44 +16,50 @@
 import { makePlacementEngines, MODEL_LAYERS } from "./placement.ts";
 import { printTable, type TableRow } from "./print_table.ts";
 
-/** Time, in ms, for the weight store to deliver one layer to one engine. */
+/** Time for the weight store to deliver one layer to one engine, in ms. */
 const LAYER_LOAD_MS = 500;
 
-/** Loads that the weight store takes at once. */
-const MAX_LOADS = 2;
+/** Maximum number of engines that load from the weight store concurrently. */
+const MAX_CONCURRENT_LOADS = 2;
 
-/** Ms after a loss until control knows of it. */
-const NOTICE_MS = 1_500;
+/** Time until the control plane detects a failed engine, in ms. */
+const DETECTION_DELAY_MS = 1_500;
 
 interface Loading {
   readonly upstream: string;
   readonly readyMs: number;
 }
 
-/** What a run of the repair measured. */
-export interface RepairRun {
-  /** Flow right after the loss, as a part of the flow before. */
-  readonly leftPart: number;
-  /** Least flow while the repair ran, as a part of that right after the loss. */
-  readonly leastPart: number;
-  /** Time, in ms, until the flow reached its part of the new bound. */
+/** Result of a simulated repair. */
+export interface RepairResult {
+  /** Flow right after the first failure, as a share of the flow before it. */
+  readonly remainingShare: number;
+  /**
+   * Lowest flow during the repair, as a share of the flow right after the first
+   * failure.
+   */
+  readonly minShare: number;
+  /** Time from the last failure until 0.9 of the new bound is reached, in ms. */
   readonly recoveredMs: number;
-  /** Time, in ms, of that which the weight store took. */
-  readonly loadingMs: number;
+  /** Duration of the longest load from the weight store, in ms. */
+  readonly longestLoadMs: number;
   readonly movedLayers: number;
-  /** Flow at the end, as a part of the new bound. */
-  readonly endPart: number;
-  /** The same for a plan made anew. */
-  readonly planPart: number;
-  /** Layers that a plan made anew would have moved. */
-  readonly planMovedLayers: number;
+  /** Flow at the end, as a share of the new bound. */
+  readonly finalShare: number;
+  /** Flow after replanning from scratch, as a share of the new bound. */
+  readonly replanShare: number;
+  /** Layers that replanning from scratch would have moved. */
+  readonly replanMovedLayers: number;
 }
 
-/** Runs the repair after losses; each is given by its time and its engines. */
+/**
+ * Simulates the repair after losses; each loss has the time and the names of the
+ * engines that fail.
+ */
 export function runRepair(
   engines: readonly PlacementEngine[],
   losses: readonly { atMs: number; names: readonly string[] }[],
-): RepairRun {
+): RepairResult {
   const options = { layerCount: MODEL_LAYERS };
   const plan = planPlacement(engines, options);
   const stages = [
@@ -69,9 +75,9 @@
   const loads: Loading[] = [];
   let movedLayers = 0;
   let recoveredMs = NaN;
-  let leastFlow = Infinity;
-  let leftFlow = NaN;
-  let loadingMs = 0;
+  let minFlow = Infinity;
+  let remainingFlow = NaN;
+  let longestLoadMs = 0;
   const lastLossMs = losses[losses.length - 1].atMs;
   const getFlow = () =>
     getPlacementFlow(placed.filter((one) => one.ready), {
@@ -83,16 +89,16 @@
     for (const loss of losses.filter((one) => one.atMs === nowMs)) {
       live = live.filter(({ name }) => !loss.names.includes(name));
       placed = placed.filter((one) => !loss.names.includes(one.upstream));
-      if (Number.isNaN(leftFlow)) leftFlow = getFlow();
-      leastFlow = Math.min(leastFlow, getFlow());
+      if (Number.isNaN(remainingFlow)) remainingFlow = getFlow();
+      minFlow = Math.min(minFlow, getFlow());
     }
     for (const load of loads.filter((one) => one.readyMs === nowMs)) {
       placed = placed.map((one) =>
         one.upstream === load.upstream ? { ...one, ready: true } : one
       );
     }
-    if (nowMs >= losses[0].atMs + NOTICE_MS) startMoves(nowMs);
-    if (nowMs > losses[0].atMs) leastFlow = Math.min(leastFlow, getFlow());
+    if (nowMs >= losses[0].atMs + DETECTION_DELAY_MS) startMoves(nowMs);
+    if (nowMs > losses[0].atMs) minFlow = Math.min(minFlow, getFlow());
     const boundPerS = getFlowBound(live, MODEL_LAYERS);
     const recovered = nowMs >= lastLossMs && getFlow() >= 0.9 * boundPerS;
     if (recovered && Number.isNaN(recoveredMs)) {
@@ -105,42 +111,42 @@
       const move = planRepairMove(placed, {
         engines: live,
         stages,
-        maxLoads: MAX_LOADS,
+        maxLoads: MAX_CONCURRENT_LOADS,
         ...options,
       });
       if (!move) return;
       const { upstream, to } = move;
       const size = to.end - to.start;
       movedLayers += size;
-      loadingMs = Math.max(loadingMs, size * LAYER_LOAD_MS);
+      longestLoadMs = Math.max(longestLoadMs, size * LAYER_LOAD_MS);
       placed = placed.filter((one) => one.upstream !== upstream);
       placed.push({ upstream, layers: to, ready: false });
       loads.push({ upstream, readyMs: nowMs + size * LAYER_LOAD_MS });
     }
   }
 
-  const anew = planPlacement(live, options);
+  const replan = planPlacement(live, options);
   const boundPerS = getFlowBound(live, MODEL_LAYERS);
   const before = new Map(plan.assignments.map((one) => [one.upstream, one]));
-  const planMovedLayers = anew.assignments
+  const replanMovedLayers = replan.assignments
     .filter(({ upstream, layers }) =>
       before.get(upstream)?.layers.start !== layers.start ||
       before.get(upstream)?.layers.end !== layers.end
     )
     .reduce((sum, { layers }) => sum + layers.end - layers.start, 0);
   return {
-    leftPart: leftFlow / plan.flowPerS,
-    leastPart: leftFlow === 0 ? 0 : leastFlow / leftFlow,
+    remainingShare: remainingFlow / plan.flowPerS,
+    minShare: remainingFlow === 0 ? 0 : minFlow / remainingFlow,
     recoveredMs,
-    loadingMs,
+    longestLoadMs,
     movedLayers,
-    endPart: getFlow() / boundPerS,
-    planPart: anew.flowPerS / boundPerS,
-    planMovedLayers,
+    finalShare: getFlow() / boundPerS,
+    replanShare: replan.flowPerS / boundPerS,
+    replanMovedLayers,
   };
 }
 
-/** Engines of one stage of a plan, the strongest first. */
+/** Lists the engines of one stage of a plan, the fastest first. */
 export function listStageEngines(
   engines: readonly PlacementEngine[],
   stage: number,
@@ -155,17 +161,17 @@
     .sort((a, b) => (speed.get(b) ?? 0) - (speed.get(a) ?? 0));
 }
 
-/** Measures the recovery of placements. */
+/** Measures the recovery of placements after engines fail. */
 export function measureRecovery(): void {
   const rows: TableRow[] = [];
   for (const count of [40, 600]) {
     const engines = makePlacementEngines(count, "mixed");
     const stage = listStageEngines(engines, 0);
-    const many = Math.ceil(count / 40);
+    const lossCount = Math.ceil(count / 40);
     const cases = [
       {
-        name: `${many} engines of one stage`,
-        losses: [{ atMs: 0, names: stage.slice(0, many) }],
+        name: `${lossCount} engines of one stage`,
+        losses: [{ atMs: 0, names: stage.slice(0, lossCount) }],
       },
       {
         name: "half of one stage",
@@ -176,10 +182,10 @@
         losses: [{ atMs: 0, names: stage }],
       },
       {
-        name: `${many} engines, ${many} more in the repair`,
+        name: `${lossCount} engines, ${lossCount} more in the repair`,
         losses: [
-          { atMs: 0, names: stage.slice(0, many) },
-          { atMs: 3_000, names: stage.slice(many, many * 2) },
+          { atMs: 0, names: stage.slice(0, lossCount) },
+          { atMs: 3_000, names: stage.slice(lossCount, lossCount * 2) },
         ],
       },
     ];
@@ -187,27 +193,27 @@
       rows.push({
         engines: count,
         lost: name,
-        ...describeRun(engines, losses),
+        ...formatRun(engines, losses),
       });
     }
   }
   printTable(rows);
 }
 
-function describeRun(
+function formatRun(
   engines: readonly PlacementEngine[],
   losses: Parameters<typeof runRepair>[1],
 ): TableRow {
   const run = runRepair(engines, losses);
   const seconds = (ms: number) => (ms / 1_000).toFixed(1);
   return {
-    "flow left": run.leftPart.toFixed(2),
-    "least while repaired": run.leastPart.toFixed(2),
+    "flow left": run.remainingShare.toFixed(2),
+    "least while repaired": run.minShare.toFixed(2),
     "back to 0.9 s": seconds(run.recoveredMs),
-    "one load s": seconds(run.loadingMs),
-    "end of bound": run.endPart.toFixed(3),
-    "anew of bound": run.planPart.toFixed(3),
+    "one load s": seconds(run.longestLoadMs),
+    "end of bound": run.finalShare.toFixed(3),
+    "anew of bound": run.replanShare.toFixed(3),
     "layers moved": run.movedLayers,
-    "moved anew": run.planMovedLayers,
+    "moved anew": run.replanMovedLayers,
   };
 }
--- a/measure/rollout.ts
+++ b/measure/rollout.ts
@@ -1,5 +1,6 @@
 /**
- * What a version of the configuration costs the leader and each gateway.
+ * What a new version of the configuration costs the leader and each gateway, and
+ * how long a gateway takes to find the leader.
  *
  * @module
  */
@@ -26,65 +27,73 @@
 import { wire } from "../src/wire/index.ts";
 import { printTable, type TableRow } from "./print_table.ts";
 
-/** Versions to measure: routes before, and routes that the next one adds. */
-const CHANGES = [
+/** Versions to measure: routes before, and routes that the next version adds. */
+const VERSION_CHANGES = [
   { routes: 245, added: 0 },
   { routes: 245, added: 1_400 },
   { routes: 1_925, added: 0 },
 ];
 
-const GATEWAYS = [11, 76, 300];
+const GATEWAY_COUNTS = [11, 76, 300];
 
-/** Runs of each; the last one counts, once the code is warm. */
+/** Runs of each case; only the last is reported, after JIT warm-up. */
 const RUNS = 4;
 
-/** Control processes that say nothing, asked before the leader. */
-const SILENT = [0, 1, 2, 4];
+/** Numbers of unresponsive control processes listed before the leader. */
+const UNRESPONSIVE = [0, 1, 2, 4];
 
-/** Prints what a version costs, and how long a gateway looks for the leader. */
+/** Measures the cost of a version and the time a gateway takes to find the leader. */
 export async function measureRollout(): Promise<void> {
   printTable(
-    CHANGES.flatMap((change) =>
-      GATEWAYS.map((gateways) => {
+    VERSION_CHANGES.flatMap((change) =>
+      GATEWAY_COUNTS.map((gateways) => {
         const rows = Array.from(
           { length: RUNS },
-          () => measureVersion({ ...change, gateways }),
+          () => measureConfigVersion({ ...change, gateways }),
         );
         return rows[RUNS - 1];
       })
     ),
   );
   const searches: TableRow[] = [];
-  for (const silent of SILENT) searches.push(await measureSearch(silent));
+  for (const count of UNRESPONSIVE) searches.push(await measureSearch(count));
   printTable(searches);
 }
 
-async function measureSearch(silent: number): Promise<TableRow> {
+async function measureSearch(
+  unresponsiveCount: number,
+): Promise<TableRow> {
   const servers: SessionServer[] = [];
-  for (let at = 0; at < silent; at++) {
+  for (let at = 0; at < unresponsiveCount; at++) {
     servers.push(await startSessionServer(() => {}));
   }
   let welcomedMs = 0;
-  await using leader = await startSessionServer((message, tell) => {
-    if (message.type === "hello") tell(WELCOME);
+  await using leader = await startSessionServer((message, send) => {
+    if (message.type === "hello") send(WELCOME);
     else welcomedMs ||= performance.now();
   });
   const addresses = [...servers, leader].map(({ address }) => address);
   const startedMs = performance.now();
   {
     await using _gateway = await startOneGateway(addresses);
-    await until("it has a session", () => welcomedMs > 0);
+    await until(
+      "the gateway has a session with the leader",
+      () => welcomedMs > 0,
+    );
   }
   await Promise.all(servers.map((one) => one[Symbol.asyncDispose]()));
-  return { silent, "found after, ms": Math.round(welcomedMs - startedMs) };
+  return {
+    silent: unresponsiveCount,
+    "found after, ms": Math.round(welcomedMs - startedMs),
+  };
 }
 
-function measureVersion(
+function measureConfigVersion(
   options: { routes: number; added: number; gateways: number },
 ): TableRow {
   const { routes, added, gateways } = options;
-  const from = makeAccepted(3, { routes });
-  const to = makeAccepted(5, { routes: routes + added });
+  const from = makeConfigVersion(3, { routes });
+  const to = makeConfigVersion(5, { routes: routes + added });
   const history = createConfigHistory({ decodeConfig });
   history.note(from);
   history.note(to);
@@ -93,55 +102,59 @@
     format: (message) => formatLeaderMessage(message, createEngineNumbers()),
     metrics: { count: () => {} },
   });
-  const [toldMs, told] = time(() => {
+  const [formatMs, leaderMessage] = measureTime(() => {
     let message = messages.get(to, from.version);
     for (let at = 1; at < gateways; at++) {
       message = messages.get(to, from.version);
     }
     return message;
   });
-  const [writtenMs, bytes] = time(() => {
+  const [encodeMs, bytes] = measureTime(() => {
     let length = 0;
     for (let at = 0; at < gateways; at++) {
-      length = wire.FleetMessage.encode(told).finish().length;
+      length = wire.FleetMessage.encode(leaderMessage).finish().length;
     }
     return length;
   });
-  const [checkedMs] = time(() => findConfigProblems(history.read(to.packed)));
-  const held = createHeldConfig({
+  const [validateMs] = measureTime(() =>
+    findConfigProblems(history.read(to.packed))
+  );
+  const gatewayConfig = createHeldConfig({
     decodeConfig,
     onChange: () => {},
     onUnfit: () => {
-      throw new Error("The change doesn't fit");
+      throw new Error(
+        "the change does not apply to the version that the gateway holds",
+      );
     },
     now: () => performance.now(),
     log: () => {},
     metrics: { timing: () => {} },
   });
-  held.take({ type: "config", ...from });
-  const [appliedMs] = time(() => {
-    const message = parseLeaderMessage(told, createEngineNumbers());
-    if (message.type === "config") held.take(message);
-    if (message.type === "configChange") held.takeChange(message);
+  gatewayConfig.take({ type: "config", ...from });
+  const [applyMs] = measureTime(() => {
+    const message = parseLeaderMessage(leaderMessage, createEngineNumbers());
+    if (message.type === "config") gatewayConfig.take(message);
+    if (message.type === "configChange") gatewayConfig.takeChange(message);
   });
   return {
     routes,
     added,
     gateways,
     bytes,
-    "check, ms": checkedMs,
-    "made by the leader, ms": toldMs,
-    "written, ms": writtenMs,
-    "applied by a gateway, ms": appliedMs,
+    "check, ms": validateMs,
+    "made by the leader, ms": formatMs,
+    "written, ms": encodeMs,
+    "applied by a gateway, ms": applyMs,
   };
 }
 
-function makeAccepted(version: number, options: { routes: number }) {
+function makeConfigVersion(version: number, options: { routes: number }) {
   const document = JSON.stringify(makeLargeWireConfig(version, options));
   return { version, packed: packDocument(document) };
 }
 
-function time<Value>(work: () => Value): [string, Value] {
+function measureTime<Value>(work: () => Value): [string, Value] {
   const startedMs = performance.now();
   const value = work();
   return [(performance.now() - startedMs).toFixed(1), value];
--- a/measure/routing.ts
+++ b/measure/routing.ts
@@ -1,5 +1,5 @@
 /**
- * Routing: our policy beside its baselines.
+ * Compares the routing policy with baseline policies in a simulation.
  *
  * @module
  */
@@ -14,37 +14,39 @@
 import {
   chooseBySpeed,
   chooseLeastReported,
-  chooseOurs,
+  chooseProduction,
   chooseRoundRobin,
   chooseTwoRandom,
 } from "./routing_policies.ts";
 
-/** Speeds of the five kinds of accelerators, work a second. */
-const SPEEDS = [10, 20, 40, 60, 80];
+/** Speeds of the five kinds of accelerators, in units of work per second. */
+const ACCELERATOR_SPEEDS_PER_S = [10, 20, 40, 60, 80];
 
-/** Ms there and back: within a place, within a region, and far. */
+/** Round-trip times in ms: within a place, within a region, and far away. */
 const ROUND_TRIPS_MS = [0.5, 1.5, 50];
 
-/** The policies by name. */
+/** The compared policies by name. */
 export const POLICIES: Readonly<Record<string, Policy>> = {
-  "ours": chooseOurs,
+  "ours": chooseProduction,
   "round-robin": chooseRoundRobin,
   "least reported": chooseLeastReported,
   "two random": chooseTwoRandom,
   "by speed": chooseBySpeed,
 };
 
-/** Makes engines of mixed kinds, or of one. */
+/** Creates engines of mixed kinds, or all of one kind. */
 export function makeEngines(count: number, mixed: boolean): ModelEngine[] {
   const random = createRandomSource(7);
   return Array.from({ length: count }, (_v, at) => ({
     name: `engine-${at}`,
-    speedPerS: mixed ? SPEEDS[at % SPEEDS.length] : SPEEDS[2],
+    speedPerS: mixed
+      ? ACCELERATOR_SPEEDS_PER_S[at % ACCELERATOR_SPEEDS_PER_S.length]
+      : ACCELERATOR_SPEEDS_PER_S[2],
     roundTripMs: mixed ? ROUND_TRIPS_MS[random.integer(0, 1)] : 0.5,
   }));
 }
 
-interface Case {
+interface RoutingCase {
   readonly name: string;
   readonly engines: readonly ModelEngine[];
   readonly entries: number;
@@ -57,46 +59,56 @@
 const ALL_POLICIES = Object.keys(POLICIES);
 const BEST_POLICIES = ["ours", "two random", "by speed"];
 
-function makeCases(): Case[] {
+function makeCases(): RoutingCase[] {
   const mixed = makeEngines(40, true);
   const uniform = makeEngines(40, false);
-  const today = { entries: 11, requests: 200_000, load: 0.85 };
+  const currentFleet = { entries: 11, requests: 200_000, load: 0.85 };
   const slow = mixed.map((engine, at) => ({
     ...engine,
     realSpeedPerS: at % 10 === 4 ? engine.speedPerS / 2 : engine.speedPerS,
   }));
   return [
-    { ...today, name: "40 mixed", engines: mixed, policies: ALL_POLICIES },
-    { ...today, name: "40 uniform", engines: uniform, policies: ALL_POLICIES },
     {
-      ...today,
+      ...currentFleet,
+      name: "40 mixed",
+      engines: mixed,
+      policies: ALL_POLICIES,
+    },
+    {
+      ...currentFleet,
+      name: "40 uniform",
+      engines: uniform,
+      policies: ALL_POLICIES,
+    },
+    {
+      ...currentFleet,
       name: "40 mixed, unequal entries",
       engines: mixed,
       policies: BEST_POLICIES,
       skew: 1,
     },
     {
-      ...today,
+      ...currentFleet,
       name: "40 mixed, 4 at half speed",
       engines: slow,
       policies: BEST_POLICIES,
     },
     {
-      ...today,
+      ...currentFleet,
       name: "40 mixed",
       engines: mixed,
       load: 0.97,
       policies: BEST_POLICIES,
     },
     {
-      ...today,
+      ...currentFleet,
       name: "40 uniform",
       engines: uniform,
       load: 0.97,
       policies: ["ours", "two random", "round-robin"],
     },
     {
-      ...today,
+      ...currentFleet,
       name: "3 plain",
       engines: makeEngines(3, false),
       requests: 100_000,
@@ -113,27 +125,27 @@
   ];
 }
 
-/** Measures the routing policies. */
+/** Compares the routing policies and measures the time of a decision. */
 export function measureRouting(): void {
   printTable(
-    makeCases().flatMap((one) =>
-      one.policies.map((name) => runCase(one, name))
+    makeCases().flatMap((routingCase) =>
+      routingCase.policies.map((name) => runCase(routingCase, name))
     ),
   );
   printTable([40, 600].map((count) => measureDecision(count)));
 }
 
-function runCase(one: Case, policyName: string): TableRow {
+function runCase(routingCase: RoutingCase, policyName: string): TableRow {
   const result = runRoutingModel({
-    ...one,
+    ...routingCase,
     policy: POLICIES[policyName],
     seed: 1,
     reportLagMs: 500,
     reportIntervalMs: 250,
   });
   return {
-    case: one.name,
-    load: one.load,
+    case: routingCase.name,
+    load: routingCase.load,
     policy: policyName,
     "p50 ms": result.p50Ms.toFixed(1),
     "p99 ms": result.p99Ms.toFixed(1),
@@ -143,7 +155,7 @@
 
 function measureDecision(count: number): TableRow {
   const random = createRandomSource(3);
-  // Written out, not spread: a spread object is slow to read in this engine.
+  // Properties are listed one by one: V8 reads objects made by spread more slowly.
   const views = makeEngines(count, true).map((engine) => ({
     name: engine.name,
     speedPerS: engine.speedPerS,
@@ -157,9 +169,12 @@
   }));
   const rounds = 20_000;
   const context = { nowMs: 100, random, entry: 0, count: 0 };
-  for (let round = 0; round < 2_000; round++) chooseOurs(views, context);
+  for (let round = 0; round < 2_000; round++) chooseProduction(views, context);
   const startedMs = performance.now();
-  for (let round = 0; round < rounds; round++) chooseOurs(views, context);
-  const perDecision = ((performance.now() - startedMs) / rounds) * 1_000;
-  return { engines: count, "microseconds a decision": perDecision.toFixed(2) };
+  for (let round = 0; round < rounds; round++) chooseProduction(views, context);
+  const perDecisionUs = ((performance.now() - startedMs) / rounds) * 1_000;
+  return {
+    engines: count,
+    "microseconds a decision": perDecisionUs.toFixed(2),
+  };
 }
--- a/measure/routing_model.ts
+++ b/measure/routing_model.ts
@@ -1,6 +1,7 @@
 /**
- * Requests from several entries to engines that share their speed among the
- * requests that they run: an event-driven run of the pure routing decisions.
+ * Discrete-event simulation of routing: several entries send requests to engines
+ * that divide their speed among the requests in progress. It calls the pure
+ * functions that make the routing decisions in production.
  *
  * @module
  */
@@ -17,24 +18,24 @@
   type UpstreamView,
 } from "../src/routing/index.ts";
 
-/** An engine of the model. */
+/** A simulated engine. */
 export interface ModelEngine {
   readonly name: string;
-  /** Work that it does in a second when enough requests run. */
+  /** Work per second when enough requests run to use the full speed. */
   readonly speedPerS: number;
-  /** Time, in ms, there and back. */
+  /** Round-trip time between an entry and the engine, in ms. */
   readonly roundTripMs: number;
-  /** Speed that it really has, where it is another than the declared one. */
+  /** Actual speed, where it differs from the declared one. */
   readonly realSpeedPerS?: number;
 }
 
-/** A view with what lagging reports say, which only baselines use. */
+/** An upstream as an entry sees it, with delayed load reports for baselines. */
 export interface ModelView extends UpstreamView {
-  /** Requests of all entries there, by the last report. */
+  /** Requests of all entries at the engine, by the last report. */
   readonly reportedLoad: number;
 }
 
-/** Chooses among views; `entry` and `count` are for policies that keep turns. */
+/** Chooses an upstream; `entry` and `count` are for round-robin policies. */
 export type Policy = (
   views: readonly ModelView[],
   context: {
@@ -49,31 +50,31 @@
 export interface RoutingModelOptions {
   readonly engines: readonly ModelEngine[];
   readonly entries: number;
-  /** Part of all engines' speed that is asked for. */
+  /** Offered load as a share of the total speed of all engines. */
   readonly load: number;
   readonly policy: Policy;
   readonly seed: number;
   readonly requests: number;
-  /** Time, in ms, by which reports of load lag. */
+  /** Delay of load reports, in ms. */
   readonly reportLagMs: number;
-  /** Time, in ms, between two reports. */
+  /** Time between two load reports, in ms. */
   readonly reportIntervalMs: number;
-  /** How unequal the entries' demand is: 0 is equal, 1 is as 1, 1/2, 1/3. */
+  /** Zipf exponent of the entries' demand: 0 is equal, 1 gives 1, 1/2, 1/3. */
   readonly skew?: number;
 }
 
-/** What a run measured. */
+/** Result of a simulation. */
 export interface RoutingModelResult {
   readonly p50Ms: number;
   readonly p99Ms: number;
-  /** Work done in a second as a part of the bound, the sum of all speeds. */
+  /** Work per second as a share of the upper bound, the sum of all speeds. */
   readonly throughputShare: number;
 }
 
-/** Requests that an engine must run to reach its full speed. */
+/** Concurrent requests at which an engine reaches its full speed. */
 const FULL_BATCH = 4;
 
-/** Mean work of a request. */
+/** Mean work of a request, in units of work. */
 const MEAN_WORK = 1;
 
 interface Job {
@@ -85,12 +86,12 @@
 interface EngineState {
   readonly engine: ModelEngine;
   readonly jobs: TinyQueue<Job>;
-  /** Work that each running request has got since the start. */
+  /** Cumulative work that a request running since the start has received. */
   perJobWork: number;
   updatedMs: number;
-  /** Counts changes, so that outdated ends are passed over. */
+  /** Incremented on each change, so that outdated end events are ignored. */
   version: number;
-  /** Loads at the last reports, the newest last. */
+  /** Recent load samples, the newest last. */
   history: { atMs: number; load: number }[];
 }
 
@@ -101,11 +102,11 @@
   readonly run: () => void;
 }
 
-function getRealPerS(engine: ModelEngine): number {
+function getRealSpeedPerS(engine: ModelEngine): number {
   return engine.realSpeedPerS ?? engine.speedPerS;
 }
 
-/** Runs the model. */
+/** Runs the simulation. */
 export function runRoutingModel(
   options: RoutingModelOptions,
 ): RoutingModelResult {
@@ -113,7 +114,10 @@
   const random = createRandomSource(options.seed);
   const events = new TinyQueue<ModelEvent>([], (a, b) => a.atMs - b.atMs);
   const histogram = build({ numberOfSignificantValueDigits: 3 });
-  const totalPerS = engines.reduce((sum, one) => sum + getRealPerS(one), 0);
+  const totalPerS = engines.reduce(
+    (sum, one) => sum + getRealSpeedPerS(one),
+    0,
+  );
   const { skew = 0 } = options;
   const weights = Array.from(
     { length: entries },
@@ -121,7 +125,8 @@
   );
   const weightSum = weights.reduce((sum, weight) => sum + weight, 0);
   const demand = weights.map(() => 0);
-  const betweenMs = (1_000 * MEAN_WORK) / (totalPerS * options.load);
+  const meanArrivalIntervalMs = (1_000 * MEAN_WORK) /
+    (totalPerS * options.load);
   const states = engines.map((engine): EngineState => ({
     engine,
     jobs: new TinyQueue<Job>([], (a, b) => a.endWork - b.endWork),
@@ -150,13 +155,13 @@
   let started = 0;
   let ended = 0;
   let workDone = 0;
-  const warmUp = Math.floor(requests * 0.2);
+  const warmUpRequests = Math.floor(requests * 0.2);
   let measuredFromMs = 0;
   let measuredWork = 0;
 
   function getRatePerS(state: EngineState): number {
     const { length } = state.jobs;
-    return getRealPerS(state.engine) / Math.max(FULL_BATCH, length);
+    return getRealSpeedPerS(state.engine) / Math.max(FULL_BATCH, length);
   }
 
   function update(state: EngineState): void {
@@ -170,10 +175,10 @@
     const { version } = state;
     const next = state.jobs.peek();
     if (!next) return;
-    const leftS = Math.max(0, next.endWork - state.perJobWork) /
+    const remainingS = Math.max(0, next.endWork - state.perJobWork) /
       getRatePerS(state);
     events.push({
-      atMs: nowMs + leftS * 1_000,
+      atMs: nowMs + remainingS * 1_000,
       run: () => {
         if (state.version === version) endJob(state);
       },
@@ -183,31 +188,32 @@
   function endJob(state: EngineState): void {
     update(state);
     const job = state.jobs.pop();
-    if (job) finish(state, job);
+    if (job) completeJob(state, job);
     scheduleEnd(state);
   }
 
-  function finish(state: EngineState, job: Job): void {
+  function completeJob(state: EngineState, job: Job): void {
     const view = views[job.entry][index.get(state.engine.name) ?? 0];
     view.inFlight -= 1;
     ended += 1;
-    if (ended === warmUp) {
+    if (ended === warmUpRequests) {
       measuredFromMs = nowMs;
       measuredWork = workDone;
     }
-    if (ended <= warmUp) return;
+    if (ended <= warmUpRequests) return;
     const latencyMs = nowMs - job.startedMs + state.engine.roundTripMs;
     histogram.recordValue(Math.max(1, Math.round(latencyMs * 10)));
   }
 
   function pickEntry(): number {
-    let left = random.number() * weightSum;
-    const found = weights.findIndex((weight) => (left -= weight) <= 0);
+    let remaining = random.number() * weightSum;
+    const found = weights.findIndex((weight) => (remaining -= weight) <= 0);
     return Math.max(0, found);
   }
 
-  // Once a second control gives each entry its place, by what it was asked.
-  function grant(): void {
+  // Once a second the control plane assigns each entry its shares of the engines,
+  // by its recent demand.
+  function setShares(): void {
     const loads = demand.map((count, at) => ({
       entry: String(at).padStart(4, "0"),
       demandPerS: count,
@@ -215,13 +221,15 @@
     const intervals = computeEntryIntervals(loads);
     for (const [at, { entry }] of loads.entries()) {
       const shares = computeIntervalShares(engines, intervals[entry]);
-      views[at].forEach((view, place) => view.share = shares[place]);
+      views[at].forEach((view, engineIndex) =>
+        view.share = shares[engineIndex]
+      );
       demand[at] *= 0.6;
     }
-    if (ended < requests) events.push({ atMs: nowMs + 1_000, run: grant });
+    if (ended < requests) events.push({ atMs: nowMs + 1_000, run: setShares });
   }
 
-  function arrive(): void {
+  function handleArrival(): void {
     if (started >= requests) return;
     started += 1;
     const entry = pickEntry();
@@ -243,31 +251,34 @@
     });
     views[entry][index.get(state.engine.name) ?? 0].inFlight += 1;
     scheduleEnd(state);
-    events.push({ atMs: nowMs + random.exponential(betweenMs), run: arrive });
+    events.push({
+      atMs: nowMs + random.exponential(meanArrivalIntervalMs),
+      run: handleArrival,
+    });
   }
 
-  // Each engine's load reaches every entry, late.
-  function report(): void {
+  // Every entry receives each engine's load, delayed by `reportLagMs`.
+  function reportLoads(): void {
     for (const [at, state] of states.entries()) {
       state.history.push({ atMs: nowMs, load: state.jobs.length });
-      const known = state.history.findLast((one) =>
+      const reported = state.history.findLast((one) =>
         one.atMs <= nowMs - reportLagMs
       );
       if (state.history.length > 64) state.history.shift();
-      if (!known) continue;
+      if (!reported) continue;
       for (const entryViews of views) {
         const view = entryViews[at];
-        view.reportedLoad = known.load;
+        view.reportedLoad = reported.load;
       }
     }
     if (ended < requests) {
-      events.push({ atMs: nowMs + options.reportIntervalMs, run: report });
+      events.push({ atMs: nowMs + options.reportIntervalMs, run: reportLoads });
     }
   }
 
-  grant();
-  arrive();
-  report();
+  setShares();
+  handleArrival();
+  reportLoads();
   while (ended < requests) {
     const event = events.pop();
     if (!event) break;
--- a/measure/routing_policies.ts
+++ b/measure/routing_policies.ts
@@ -1,5 +1,5 @@
 /**
- * Routing policies: ours and the baselines beside which it is measured.
+ * Routing policies: the production policy and the baselines it is compared with.
  *
  * @module
  */
@@ -7,24 +7,24 @@
 import { chooseUpstream } from "../src/routing/index.ts";
 import type { ModelView, Policy } from "./routing_model.ts";
 
-/** Our policy. */
-export const chooseOurs: Policy = (views, { nowMs, random }) =>
+/** The policy that entries use in production. */
+export const chooseProduction: Policy = (views, { nowMs, random }) =>
   chooseUpstream(views, { nowMs, random: random.number() }) as
     | ModelView
     | undefined;
 
-/** Each in its turn. */
+/** Round-robin. */
 export const chooseRoundRobin: Policy = (views, { count }) =>
   views[count % views.length];
 
-/** The least load by the last report. */
+/** Lowest load by the last report, ties broken at random. */
 export const chooseLeastReported: Policy = (views, { random }) => {
-  const least = Math.min(...views.map((view) => view.reportedLoad));
-  const equals = views.filter((view) => view.reportedLoad === least);
-  return random.pick(equals);
+  const minLoad = Math.min(...views.map((view) => view.reportedLoad));
+  const candidates = views.filter((view) => view.reportedLoad === minLoad);
+  return random.pick(candidates);
 };
 
-/** The better of two drawn, by the last report and the own requests. */
+/** Power of two choices, by the last reported load plus the entry's requests. */
 export const chooseTwoRandom: Policy = (views, { random }) => {
   const first = random.pick(views);
   const second = random.pick(views);
@@ -32,13 +32,13 @@
   return load(first) <= load(second) ? first : second;
 };
 
-/** Drawn in proportion to the declared speed. */
+/** Random, weighted by the declared speed. */
 export const chooseBySpeed: Policy = (views, { random }) => {
   const total = views.reduce((sum, view) => sum + view.speedPerS, 0);
-  let left = random.number() * total;
+  let remaining = random.number() * total;
   for (const view of views) {
-    left -= view.speedPerS;
-    if (left <= 0) return view;
+    remaining -= view.speedPerS;
+    if (remaining <= 0) return view;
   }
   return views[0];
 };
--- a/measure/stand_in_process.ts
+++ b/measure/stand_in_process.ts
@@ -1,6 +1,6 @@
 /**
- * A stand-in upstream in a process of its own, so that it takes no time from
- * the process that measures: `node stand_in_process.js plain|engine PORT`.
+ * Runs a mock upstream in a separate process, so that it takes no processor time
+ * from the measuring process: `node stand_in_process.js plain|engine PORT`.
  *
  * @module
  */
--- a/measure/sum_profile.ts
+++ b/measure/sum_profile.ts
@@ -1,5 +1,5 @@
 /**
- * Sums a processor profile of the runtime by module.
+ * Sums the self time in a V8 CPU profile by module.
  *
  * @module
  */
@@ -20,21 +20,22 @@
   readonly timeDeltas: readonly number[];
 }
 
-/** Modules that the table shows. */
-const SHOWN = 28;
+/** Maximum number of modules in the table. */
+const MAX_ROWS = 28;
 
 const US_PER_MS = 1_000;
 
-/** A comment of the bundler that names the module of the lines behind it. */
+/** Comment by which the bundler names the module of the following lines. */
 const MODULE_COMMENT = /^\s*\/\/ ((?:src|platform|node_modules)\/\S+)$/;
 
 /**
- * Sums the time that each module took by itself: a file of the project, a
- * package, a module of the runtime, or what the runtime does outside of code.
+ * Sums the self time of each module: a source file of the project, a package, a
+ * built-in module, or work of the runtime outside of JavaScript such as garbage
+ * collection. Idle time is left out.
  *
- * @param file - The profile.
- * @param options - The bundle that was run, not minified.
- * @returns The modules that took most.
+ * @param file - Path of the `.cpuprofile` file.
+ * @param options - Path of the profiled bundle, which must not be minified.
+ * @returns The modules with the most self time, as table rows.
  * @throws {Error} When a file can't be read.
  * @example
  * printTable(await sumProfile(file, { bundleFile }));
@@ -53,15 +54,15 @@
       return [id, isBundle ? modulesByLine[lineNumber] : url];
     }),
   );
-  const sums = new Map<string, number>();
+  const msByModule = new Map<string, number>();
   profile.samples.forEach((id, at) => {
     const name = names.get(id) ?? "";
     const ms = profile.timeDeltas[at] / US_PER_MS;
-    sums.set(name, (sums.get(name) ?? 0) + ms);
+    msByModule.set(name, (msByModule.get(name) ?? 0) + ms);
   });
-  sums.delete("(idle)");
-  const total = [...sums.values()].reduce((sum, ms) => sum + ms, 0);
-  return [...sums].sort((a, b) => b[1] - a[1]).slice(0, SHOWN)
+  msByModule.delete("(idle)");
+  const total = [...msByModule.values()].reduce((sum, ms) => sum + ms, 0);
+  return [...msByModule].sort((a, b) => b[1] - a[1]).slice(0, MAX_ROWS)
     .map(([module, ms]) => ({
       module,
       ms: ms.toFixed(0),
@@ -69,7 +70,8 @@
     }));
 }
 
-// Packages count as one module each.
+// Returns the module of each line of the bundle. All files of a package count as
+// one module.
 function listModules(bundle: string): string[] {
   let current = "bundle";
   return bundle.split("\n").map((line) => {
