--- a/measure/limits.ts
+++ b/measure/limits.ts
@@ -1,5 +1,5 @@
 /**
- * Ways of dividing an upstream's rate limit among gateways.
+ * Compares ways of dividing an upstream's rate limit among gateways.
  *
  * @module
  */
@@ -10,11 +10,11 @@
   type DivideLimit,
   grantOnRequest,
   leaseByDemand,
-  playLimit,
+  simulateRateLimit,
 } from "./limits_model.ts";
 import { printTable, type TableRow } from "./print_table.ts";
 
-const WAYS: Readonly<Record<string, DivideLimit>> = {
+const DIVISIONS: Readonly<Record<string, DivideLimit>> = {
   "equal shares": divideEvenly,
   "leases by demand": leaseByDemand,
   "grants on request": grantOnRequest,
@@ -33,22 +33,22 @@
 
 const SEEDS = [1, 2, 3];
 
-/** Limits in force, and grants that are timed. */
+/** Number of limits in force, and of grants that are timed. */
 const COST_LIMITS = 60;
 const COST_GRANTS = 200_000;
 
 const MS_PER_S = 1_000;
 
 /**
- * Prints how well each way keeps to the limit and uses it up, and what grants cost the
- * leader.
+ * Prints how closely each way keeps to the limit, how much of it is used, and what
+ * grants cost the leader in time and bytes.
  */
 export function measureLimits(): void {
   const rows = GATEWAYS.flatMap((gateways) =>
     LIMITS_PER_S.flatMap((limitPerS) =>
       DEMANDS.flatMap((demand) =>
-        Object.entries(WAYS).map(([way, divide]) =>
-          playWay({ gateways, limitPerS, ...demand, way, divide })
+        Object.entries(DIVISIONS).map(([way, divide]) =>
+          measureDivision({ gateways, limitPerS, ...demand, way, divide })
         )
       )
     )
@@ -58,7 +58,7 @@
 }
 
 function measureCost(): TableRow {
-  const desk = createLimitDesk({
+  const coordinator = createLimitDesk({
     publish: () => {},
     firstVersion: Date.now(),
     now: () => performance.now(),
@@ -68,27 +68,29 @@
     { length: COST_LIMITS },
     (_, at) => `i-00000000${at}@1796282778581`,
   );
-  engineIds.forEach((engineId) => desk.take({ engineId, limitPerS: 4.6 }));
+  engineIds.forEach((engineId) =>
+    coordinator.take({ engineId, limitPerS: 4.6 })
+  );
   const startedMs = performance.now();
   for (let at = 0; at < COST_GRANTS; at++) {
-    desk.grant({ [engineIds[at % COST_LIMITS]]: 1 });
+    coordinator.grant({ [engineIds[at % COST_LIMITS]]: 1 });
   }
   const tookMs = performance.now() - startedMs;
   const askedMs = performance.now();
   const [engineId] = engineIds;
   const request = { type: "grantRequest", counts: { [engineId]: 1 }, askedMs };
-  const grants = desk.grant({ [engineId]: 1 });
+  const grants = coordinator.grant({ [engineId]: 1 });
   return {
     limits: COST_LIMITS,
     "microseconds a grant": (tookMs * MS_PER_S / COST_GRANTS).toFixed(2),
     "bytes of a request": JSON.stringify(request).length,
     "bytes of an answer":
       JSON.stringify({ type: "grants", grants, askedMs }).length,
-    "bytes of all limits": JSON.stringify(desk.list()).length,
+    "bytes of all limits": JSON.stringify(coordinator.list()).length,
   };
 }
 
-function playWay(options: {
+function measureDivision(options: {
   readonly gateways: number;
   readonly limitPerS: number;
   readonly name: string;
@@ -98,7 +100,7 @@
   readonly divide: DivideLimit;
 }): TableRow {
   const { gateways, limitPerS, name, way } = options;
-  const results = SEEDS.map((seed) => playLimit({ ...options, seed }));
+  const results = SEEDS.map((seed) => simulateRateLimit({ ...options, seed }));
   const mean = (get: (one: typeof results[number]) => number) =>
     results.reduce((sum, one) => sum + get(one), 0) / results.length;
   return {
--- a/measure/limits_model.ts
+++ b/measure/limits_model.ts
@@ -1,6 +1,7 @@
 /**
- * Gateways before one upstream that takes less than they are asked for: how well ways
- * of dividing its rate limit keep to it and use it up.
+ * Simulates gateways that share the rate limit of one upstream, under more or less
+ * demand than the limit. Shows how closely each way of dividing the limit keeps to it
+ * and how much of it is used.
  *
  * @module
  */
@@ -10,60 +11,60 @@
 import { createLimitDesk } from "../src/fleet/create_limit_desk.ts";
 import { takeToken, type TokenBucket } from "../src/limits/index.ts";
 
-/** The load, and how the limit is divided. */
-export interface LimitLoad {
+/** Demand on one rate-limited upstream, and how its limit is divided. */
+export interface RateLimitScenario {
   readonly gateways: number;
   readonly limitPerS: number;
-  /** Requests a second for the upstream, as a multiple of its limit. */
+  /** Requests per second for the upstream, as a multiple of its limit. */
   readonly demand: number;
-  /** Share of the gateways that are asked for nearly all of it. */
+  /** Share of the gateways that receive nearly all of the demand. */
   readonly busyShare: number;
   readonly divide: DivideLimit;
   readonly seed: number;
 }
 
-/** What came of a load. */
-export interface LimitResult {
+/** Outcome of a simulated scenario. */
+export interface RateLimitResult {
   /** The most requests that reached the upstream in any four seconds. */
   readonly mostInWindow: number;
-  /** Requests that reached it, as a share of what the limit allows. */
+  /** Requests that reached the upstream, as a share of what the limit allows. */
   readonly usedShare: number;
-  /** Messages to and from the leader, a second. */
+  /** Messages per second to and from the leader. */
   readonly messagesPerS: number;
 }
 
-/** What a way of dividing goes by. */
-export interface DivideOptions {
+/** Inputs of a {@link DivideLimit}. */
+export interface DivideLimitOptions {
   readonly gateways: number;
   readonly limitPerS: number;
   readonly now: () => number;
-  /** A number in [0, 1). */
+  /** Returns a random number in [0, 1). */
   readonly random: () => number;
   readonly countMessage: () => void;
 }
 
-/** A way of dividing: whether a gateway may send now. */
+/** Divides a rate limit; the returned function tells whether a gateway may send now. */
 export type DivideLimit = (
-  options: DivideOptions,
+  options: DivideLimitOptions,
 ) => (gateway: number) => boolean;
 
-const SPAN_MS = 60_000;
+const DURATION_MS = 60_000;
 const WINDOW_MS = 4_000;
 const MS_PER_S = 1_000;
 
-/** Share of the requests that don't go to the busy gateways. */
-const IDLE_DEMAND = 0.1;
+/** Share of the requests that are spread over all gateways, busy or not. */
+const SPREAD_SHARE = 0.1;
 
 /**
- * Plays a load.
+ * Simulates one minute of requests to a rate-limited upstream.
  *
- * @param load - The load.
- * @returns What came of it.
+ * @param load - Demand, gateways, and the way of dividing the limit.
+ * @returns Use of the limit, its highest load in a window, and the message rate.
  * @throws Nothing.
  * @example
- * const { mostInWindow } = playLimit(load);
+ * const { mostInWindow } = simulateRateLimit(load);
  */
-export function playLimit(load: LimitLoad): LimitResult {
+export function simulateRateLimit(load: RateLimitScenario): RateLimitResult {
   const { gateways, limitPerS, demand, busyShare, divide } = load;
   const { number: random } = createRandomSource(load.seed);
   let nowMs = 0;
@@ -76,23 +77,23 @@
     countMessage: () => void (messages += 1),
   });
   const busy = Math.max(1, Math.round(gateways * busyShare));
-  const draw = () =>
-    Math.floor(random() * (random() < IDLE_DEMAND ? gateways : busy));
+  const drawGateway = () =>
+    Math.floor(random() * (random() < SPREAD_SHARE ? gateways : busy));
   const sentMs: number[] = [];
-  while (nowMs < SPAN_MS) {
-    if (maySend(draw())) sentMs.push(nowMs);
+  while (nowMs < DURATION_MS) {
+    if (maySend(drawGateway())) sentMs.push(nowMs);
     nowMs += -Math.log(1 - random()) * MS_PER_S / (limitPerS * demand);
   }
   return {
     mostInWindow: countMostInWindow(sentMs, WINDOW_MS),
-    usedShare: sentMs.length / (limitPerS * SPAN_MS / MS_PER_S),
-    messagesPerS: messages / (SPAN_MS / MS_PER_S),
+    usedShare: sentMs.length / (limitPerS * DURATION_MS / MS_PER_S),
+    messagesPerS: messages / (DURATION_MS / MS_PER_S),
   };
 }
 
 /**
- * Each gateway has an equal share, in a bucket of one that is filled by chance at
- * first.
+ * Gives each gateway an equal share of the rate, in a token bucket that holds one
+ * token and starts with a random fill.
  */
 export const divideEvenly: DivideLimit = (options) => {
   const { gateways, limitPerS, now, random } = options;
@@ -112,39 +113,39 @@
   };
 };
 
-/** Ms for which sends are leased at a time. */
-const LEASE_MS = 500;
+/** Interval at which the leader leases sends. */
+const LEASE_INTERVAL_MS = 500;
 
 /**
- * The leader leases whole sends each half second to gateways that were asked in the
- * last one, in turn.
+ * Every half second the leader leases whole sends, round-robin, to the gateways that
+ * had requests in the previous interval.
  */
 export const leaseByDemand: DivideLimit = (options) => {
   const { gateways, limitPerS, now, countMessage } = options;
   let round = 0;
-  let carried = 0;
-  let wanted: number[] = Array(gateways).fill(0);
+  let unleased = 0;
+  let requested: number[] = Array(gateways).fill(0);
   let leased: number[] = Array(gateways).fill(0);
   let next = 0;
   function lease(): void {
-    const told = wanted;
-    wanted = Array(gateways).fill(0);
+    const demand = requested;
+    requested = Array(gateways).fill(0);
     leased = Array(gateways).fill(0);
-    carried = Math.min(1, carried) + limitPerS * LEASE_MS / MS_PER_S;
-    const asking = told.filter((count) => count > 0).length;
-    for (let at = 0; at < 2 * asking; at++) countMessage();
-    for (let passed = 0; carried >= 1 && passed < gateways;) {
+    unleased = Math.min(1, unleased) + limitPerS * LEASE_INTERVAL_MS / MS_PER_S;
+    const requesting = demand.filter((count) => count > 0).length;
+    for (let at = 0; at < 2 * requesting; at++) countMessage();
+    for (let skipped = 0; unleased >= 1 && skipped < gateways;) {
       const gateway = next++ % gateways;
-      passed += 1;
-      if (told[gateway] <= leased[gateway]) continue;
+      skipped += 1;
+      if (demand[gateway] <= leased[gateway]) continue;
       leased[gateway] += 1;
-      carried -= 1;
-      passed = 0;
+      unleased -= 1;
+      skipped = 0;
     }
   }
   return (gateway) => {
-    for (; (round + 1) * LEASE_MS <= now(); round++) lease();
-    wanted[gateway] += 1;
+    for (; (round + 1) * LEASE_INTERVAL_MS <= now(); round++) lease();
+    requested[gateway] += 1;
     if (leased[gateway] === 0) return false;
     leased[gateway] -= 1;
     return true;
@@ -152,24 +153,24 @@
 };
 
 /**
- * The leader grants each send when it is asked for; a gateway that got none asks
- * again when there may be one.
+ * The leader grants each send on request. A gateway that is denied one asks again only
+ * after the retry delay that came with the denial.
  */
 export const grantOnRequest: DivideLimit = (options) => {
   const { gateways, limitPerS, now, countMessage } = options;
-  const desk = createLimitDesk({
+  const coordinator = createLimitDesk({
     publish: () => {},
     firstVersion: 1,
     now,
     log: () => {},
   });
-  desk.take({ engineId: "engine", limitPerS });
+  coordinator.take({ engineId: "engine", limitPerS });
   const noGrantUntilMs: number[] = Array(gateways).fill(-Infinity);
   return (gateway) => {
     if (now() < noGrantUntilMs[gateway]) return false;
     countMessage();
     countMessage();
-    const [{ count, retryAfterMs }] = desk.grant({ engine: 1 });
+    const [{ count, retryAfterMs }] = coordinator.grant({ engine: 1 });
     noGrantUntilMs[gateway] = now() + retryAfterMs;
     return count === 1;
   };
--- a/measure/rest.ts
+++ b/measure/rest.ts
@@ -1,36 +1,53 @@
 /**
- * Upstreams that ask for rest under a load over their room: what callers get and
- * what engines turn away, by how gateways heed rests and come back from them.
+ * Measures back-offs under a load near or over the capacity of the upstreams: answers
+ * and rejections by how gateways respect back-offs and resume after them.
  *
  * @module
  */
 
 import type { ComeBack } from "../src/gateway/create_engine_notices.ts";
 import { printTable, type TableRow } from "./print_table.ts";
-import { playRests, type RestLoad } from "./rest_model.ts";
+import { type BackOffScenario, simulateBackOffs } from "./rest_model.ts";
 
-/** What gateways make of rests. */
-type RestPolicy = Pick<
-  RestLoad,
-  "heedsRests" | "comeBack" | "weighsNews" | "throttles"
+/** How gateways handle back-offs. */
+type BackOffPolicy = Pick<
+  BackOffScenario,
+  "respectsBackOffs" | "slowStart" | "discountsStaleLoads" | "throttles"
 >;
 
-function makeHeeding(comeBack: ComeBack): RestPolicy {
-  return { heedsRests: true, comeBack, weighsNews: false, throttles: false };
+function makeBackOffPolicy(slowStart: ComeBack): BackOffPolicy {
+  return {
+    respectsBackOffs: true,
+    slowStart,
+    discountsStaleLoads: false,
+    throttles: false,
+  };
 }
 
-/** What gateways do, each row with one thing more than some row before. */
-const WAYS: Readonly<Record<string, RestPolicy>> = {
-  "not heeded": { heedsRests: false, weighsNews: false, throttles: false },
-  heeded: makeHeeding({ spreadShare: 0, firstWindow: Infinity }),
-  "back spread": makeHeeding({ spreadShare: 0.1, firstWindow: Infinity }),
-  "back one first": makeHeeding({ spreadShare: 0, firstWindow: 1 }),
-  "back both": makeHeeding({ spreadShare: 0.1, firstWindow: 1 }),
-  "and news by age": { heedsRests: true, weighsNews: true, throttles: false },
-  "and throttled": { heedsRests: true, weighsNews: true, throttles: true },
+/** Compared policies; each adds one mechanism to an earlier one. */
+const POLICIES: Readonly<Record<string, BackOffPolicy>> = {
+  "not heeded": {
+    respectsBackOffs: false,
+    discountsStaleLoads: false,
+    throttles: false,
+  },
+  heeded: makeBackOffPolicy({ spreadShare: 0, firstWindow: Infinity }),
+  "back spread": makeBackOffPolicy({ spreadShare: 0.1, firstWindow: Infinity }),
+  "back one first": makeBackOffPolicy({ spreadShare: 0, firstWindow: 1 }),
+  "back both": makeBackOffPolicy({ spreadShare: 0.1, firstWindow: 1 }),
+  "and news by age": {
+    respectsBackOffs: true,
+    discountsStaleLoads: true,
+    throttles: false,
+  },
+  "and throttled": {
+    respectsBackOffs: true,
+    discountsStaleLoads: true,
+    throttles: true,
+  },
 };
 
-/** Loads as shares of what the engines can bear. */
+/** Loads as shares of the engines' capacity. */
 const LOADS = [0.8, 1.2, 1.6];
 
 const FLEETS = [
@@ -39,36 +56,36 @@
   { gateways: 64, engines: 12, slots: 6, queue: 4 },
 ];
 
-const WORK_MS = 85.7;
+const MEAN_RUN_MS = 85.7;
 
 const SEEDS = [1, 2, 3];
 
-/** Prints what callers and engines saw. */
+/** Prints the outcome for callers and engines by fleet, load and policy. */
 export function measureRest(): void {
   const rows = FLEETS.flatMap((fleet) =>
     LOADS.flatMap((share) =>
-      Object.entries(WAYS).map(([name, policy]) =>
-        playWay({ fleet, share, name, policy })
+      Object.entries(POLICIES).map(([name, policy]) =>
+        measurePolicy({ fleet, share, name, policy })
       )
     )
   );
   printTable(rows);
 }
 
-function playWay(options: {
+function measurePolicy(options: {
   readonly fleet: typeof FLEETS[number];
   readonly share: number;
   readonly name: string;
-  readonly policy: RestPolicy;
+  readonly policy: BackOffPolicy;
 }): TableRow {
   const { fleet, share, name, policy } = options;
-  const roomPerS = fleet.engines * fleet.slots * 1_000 / WORK_MS;
+  const capacityPerS = fleet.engines * fleet.slots * 1_000 / MEAN_RUN_MS;
   const results = SEEDS.map((seed) =>
-    playRests({
+    simulateBackOffs({
       ...fleet,
-      workMs: WORK_MS,
-      askedPerS: roomPerS * share,
-      spanMs: 20_000,
+      meanRunMs: MEAN_RUN_MS,
+      askedPerS: capacityPerS * share,
+      durationMs: 20_000,
       backOffMs: 3_000,
       ...policy,
       seed,
@@ -83,9 +100,9 @@
     way: name,
     "in time": mean((one) => one.inTime / one.asked).toFixed(3),
     served: mean((one) => one.served / one.asked).toFixed(3),
-    "turned away a request": mean((one) => one.turnedAway / one.asked)
+    "turned away a request": mean((one) => one.rejected / one.asked)
       .toFixed(3),
-    "within rests": mean((one) => one.intruded / one.asked).toFixed(3),
+    "within rests": mean((one) => one.duringBackOff / one.asked).toFixed(3),
     resting: mean((one) => one.backedOffShare).toFixed(2),
     working: mean((one) => one.busyShare).toFixed(2),
   };
--- a/measure/rest_model.ts
+++ b/measure/rest_model.ts
@@ -1,6 +1,6 @@
 /**
- * Gateways before upstreams that have less room than callers ask for: whoever is
- * full turns requests away and asks the gateway for rest.
+ * Simulates gateways in front of upstreams near or over their capacity: a full
+ * upstream rejects requests and asks the gateway to back off.
  *
  * @module
  */
@@ -31,61 +31,64 @@
 import { getBackOffWaitMs } from "../src/gateway/get_back_off_wait_ms.ts";
 import { spreadReturnMs } from "../src/gateway/spread_return_ms.ts";
 
-/** The load that is played, and what gateways make of rests. */
-export interface RestLoad {
+/** Simulated load and fleet, and how gateways handle back-offs. */
+export interface BackOffScenario {
   readonly gateways: number;
   readonly engines: number;
-  /** Requests that an engine works on at a time. */
+  /** Requests that an engine processes concurrently. */
   readonly slots: number;
-  /** Requests that wait there besides. */
+  /** Requests that an engine queues beyond those. */
   readonly queue: number;
-  readonly workMs: number;
+  readonly meanRunMs: number;
   readonly askedPerS: number;
-  readonly spanMs: number;
-  /** Ms of rest that a full engine asks for. */
+  readonly durationMs: number;
+  /** Length of the back-off that a full engine asks for. */
   readonly backOffMs: number;
-  /** Whether gateways heed it. */
-  readonly heedsRests: boolean;
-  /** How they come back; as the product does by default. */
-  readonly comeBack?: ComeBack;
-  /** Whether the age of news of loads counts. */
-  readonly weighsNews: boolean;
-  /** Whether new requests are limited while many engines rest. */
+  /** Whether gateways respect back-offs. */
+  readonly respectsBackOffs: boolean;
+  /** How gateways resume sending after a back-off; by default as in production. */
+  readonly slowStart?: ComeBack;
+  /** Whether reported loads count for less as they age. */
+  readonly discountsStaleLoads: boolean;
+  /** Whether new requests are throttled while many engines are backed off. */
   readonly throttles: boolean;
   readonly seed: number;
 }
 
-/** What callers and engines saw. */
-export interface RestResult {
+/** Outcome for callers and engines. */
+export interface BackOffResult {
   readonly asked: number;
-  /** Answers within the time that callers hope for. */
+  /** Answers within the latency target. */
   readonly inTime: number;
   readonly served: number;
-  /** Arrivals at engines that turned them away. */
-  readonly turnedAway: number;
-  /** Arrivals within a rest that the engine had asked that gateway for. */
-  readonly intruded: number;
-  /** Mean share of engines that rest, over gateways and time. */
+  /** Arrivals that a full engine rejected. */
+  readonly rejected: number;
+  /** Arrivals during a back-off that the engine had asked that gateway for. */
+  readonly duringBackOff: number;
+  /** Mean share of engines that are backed off, over gateways and time. */
   readonly backedOffShare: number;
-  /** Mean share of the engines' slots that work. */
+  /** Mean share of the engines' slots that are in use. */
   readonly busyShare: number;
 }
 
 const SERVICE = "s";
 const NETWORK_MS = 1;
-const AIM_MS = 386;
+const TARGET_LATENCY_MS = 386;
 const DEADLINE_MS = 3_000;
-const MAX_TRIES = 3;
+const MAX_ATTEMPTS = 3;
 const LOADS_INTERVAL_MS = 350;
 const SAMPLE_INTERVAL_MS = 50;
-/** Ms after which callers come again where nothing better is known. */
+/** Delay before a caller's retry where no back-off gives a longer one. */
 const RETRY_AFTER_MS = 300;
-/** Ms within which an engine still counts what was on its way as excused. */
-const ON_THE_WAY_MS = 2 * NETWORK_MS;
+/**
+ * Round trip in which requests may still arrive that were sent before the gateway
+ * received the back-off; they don't count as arrivals during it.
+ */
+const IN_TRANSIT_MS = 2 * NETWORK_MS;
 
 interface Caller {
-  readonly firstMs: number;
-  returns: number;
+  readonly firstSentMs: number;
+  retries: number;
 }
 
 interface Gateway {
@@ -98,20 +101,20 @@
 interface Engine {
   running: number;
   readonly waiting: (() => void)[];
-  /** Until when it has asked each gateway for rest. */
+  /** End of the back-off that the engine asked for, by gateway. */
   readonly backOffUntilMs: number[];
 }
 
 /**
- * Plays a load.
+ * Simulates requests to engines that ask for back-offs when they are full.
  *
- * @param load - The load.
- * @returns What came of it.
+ * @param load - Load, fleet, and the handling of back-offs.
+ * @returns Outcome for callers and engines.
  * @throws Nothing.
  * @example
- * const { turnedAway, asked } = playRests(load);
+ * const { rejected, asked } = simulateBackOffs(load);
  */
-export function playRests(load: RestLoad): RestResult {
+export function simulateBackOffs(load: BackOffScenario): BackOffResult {
   const { number: random } = createRandomSource(load.seed);
   const events = new TinyQueue<{ atMs: number; run: () => void }>(
     [],
@@ -124,8 +127,8 @@
     asked: 0,
     inTime: 0,
     served: 0,
-    turnedAway: 0,
-    intruded: 0,
+    rejected: 0,
+    duringBackOff: 0,
     resting: 0,
     busy: 0,
     samples: 0,
@@ -143,13 +146,13 @@
       random,
       log: () => {},
       metrics: { count: () => {} },
-      comeBack: load.comeBack,
+      comeBack: load.slowStart,
     });
     const table = createEngineTable({
       now: () => nowMs,
       log: () => {},
       onGone: () => {},
-      notices: load.heedsRests ? notices : undefined,
+      notices: load.respectsBackOffs ? notices : undefined,
     });
     const records = engines.map((_, at) => ({
       engineId: String(at),
@@ -164,13 +167,13 @@
     return { table, notices, throttle, usualTimes: createUsualTimes() };
   }
 
-  function ask(caller: Caller): void {
+  function submit(caller: Caller): void {
     const at = Math.floor(random() * gateways.length);
     const { table, throttle } = gateways[at];
     const isLimited = load.throttles && isBusy(table.listUsable(SERVICE));
     const waitMs = isLimited ? throttle.admit(SERVICE) : undefined;
-    if (waitMs !== undefined) return comeAgain(caller, waitMs);
-    tryNext(caller, { at, excluded: new Set(), tries: 0 });
+    if (waitMs !== undefined) return scheduleRetry(caller, waitMs);
+    attemptNext(caller, { at, excluded: new Set(), tries: 0 });
   }
 
   interface Call {
@@ -179,41 +182,43 @@
     tries: number;
   }
 
-  function tryNext(caller: Caller, call: Call): void {
+  function attemptNext(caller: Caller, call: Call): void {
     const { table, usualTimes } = gateways[call.at];
     const ageMs = table.getLoadsAgeMs();
     const usualMs = usualTimes.getMs(SERVICE);
-    const engine = call.tries < MAX_TRIES
+    const engine = call.tries < MAX_ATTEMPTS
       ? chooseEngine(table.listUsable(SERVICE), {
         place: "p",
         excluded: call.excluded,
         nowMs,
         random: random(),
-        keptShare: load.weighsNews ? getKeptShare({ ageMs, usualMs }) : 1,
+        keptShare: load.discountsStaleLoads
+          ? getKeptShare({ ageMs, usualMs })
+          : 1,
       })
       : undefined;
-    if (!engine) return refuse(caller, call);
+    if (!engine) return rejectCall(caller, call);
     call.tries += 1;
     send(caller, { call, engine });
   }
 
-  function refuse(caller: Caller, call: Call): void {
+  function rejectCall(caller: Caller, call: Call): void {
     const { table, notices } = gateways[call.at];
-    const backOffMs = load.heedsRests
+    const backOffMs = load.respectsBackOffs
       ? getBackOffWaitMs({ engines: table, notices, service: SERVICE })
       : undefined;
-    comeAgain(caller, backOffMs ?? 0);
+    scheduleRetry(caller, backOffMs ?? 0);
   }
 
-  function comeAgain(caller: Caller, leastMs: number): void {
-    const waitMs = leastMs === 0
+  function scheduleRetry(caller: Caller, minWaitMs: number): void {
+    const waitMs = minWaitMs === 0
       ? RETRY_AFTER_MS
-      : spreadReturnMs(Math.max(RETRY_AFTER_MS, leastMs), random());
-    const leftMs = caller.firstMs + DEADLINE_MS - nowMs;
-    // Callers come back once, and wait for a third of the time that they have left.
-    if (caller.returns > 0 || leftMs <= 0) return;
-    caller.returns += 1;
-    after(Math.min(waitMs, leftMs / 3), () => ask(caller));
+      : spreadReturnMs(Math.max(RETRY_AFTER_MS, minWaitMs), random());
+    const remainingMs = caller.firstSentMs + DEADLINE_MS - nowMs;
+    // Callers retry once, after at most a third of their remaining time.
+    if (caller.retries > 0 || remainingMs <= 0) return;
+    caller.retries += 1;
+    after(Math.min(waitMs, remainingMs / 3), () => submit(caller));
   }
 
   function send(
@@ -227,11 +232,11 @@
     engine.inFlight += 1;
     after(NETWORK_MS, () => arrive(Number(engineId), { call, onAnswer }));
 
-    function onAnswer(isTaken: boolean): void {
+    function onAnswer(isAccepted: boolean): void {
       after(NETWORK_MS, () => {
         engine.inFlight -= 1;
-        engine.toldLoad = getToldLoad(engines[Number(engineId)]);
-        if (!isTaken) {
+        engine.toldLoad = getReportedLoad(engines[Number(engineId)]);
+        if (!isAccepted) {
           notices.take(engineId, {
             backOffMs: load.backOffMs,
             isLeaving: false,
@@ -241,51 +246,54 @@
             backedOffShare: resting / load.engines,
           });
         }
-        endSend({ isTaken });
-        if (isTaken) {
+        endSend({ isTaken: isAccepted });
+        if (isAccepted) {
           usualTimes.noteAnswer(SERVICE, { tookMs: nowMs - sentMs });
           throttle.noteServed(SERVICE);
-          return takeAnswer(caller);
+          return recordAnswer(caller);
         }
         call.excluded.add(engineId);
-        tryNext(caller, call);
+        attemptNext(caller, call);
       });
     }
   }
 
-  function getToldLoad({ running, waiting }: Engine): number {
+  function getReportedLoad({ running, waiting }: Engine): number {
     return (running + waiting.length) / load.slots;
   }
 
-  function takeAnswer({ firstMs }: Caller): void {
-    const tookMs = nowMs - firstMs;
+  function recordAnswer({ firstSentMs }: Caller): void {
+    const tookMs = nowMs - firstSentMs;
     if (tookMs <= DEADLINE_MS) tally.served += 1;
-    if (tookMs <= AIM_MS) tally.inTime += 1;
+    if (tookMs <= TARGET_LATENCY_MS) tally.inTime += 1;
   }
 
   function arrive(
     at: number,
-    options: { call: Call; onAnswer: (isTaken: boolean) => void },
+    options: { call: Call; onAnswer: (isAccepted: boolean) => void },
   ): void {
     const engine = engines[at];
     const { call, onAnswer } = options;
-    if (nowMs < engine.backOffUntilMs[call.at]) tally.intruded += 1;
-    if (engine.running < load.slots) return work(engine, onAnswer);
+    if (nowMs < engine.backOffUntilMs[call.at]) tally.duringBackOff += 1;
+    if (engine.running < load.slots) return startWork(engine, onAnswer);
     if (engine.waiting.length < load.queue) {
-      engine.waiting.push(() => work(engine, onAnswer));
+      engine.waiting.push(() => startWork(engine, onAnswer));
       return;
     }
-    tally.turnedAway += 1;
-    after(ON_THE_WAY_MS, () => {
-      engine.backOffUntilMs[call.at] = nowMs - ON_THE_WAY_MS + load.backOffMs;
+    tally.rejected += 1;
+    after(IN_TRANSIT_MS, () => {
+      engine.backOffUntilMs[call.at] = nowMs - IN_TRANSIT_MS + load.backOffMs;
     });
     onAnswer(false);
   }
 
-  function work(engine: Engine, onAnswer: (isTaken: boolean) => void): void {
+  function startWork(
+    engine: Engine,
+    onAnswer: (isAccepted: boolean) => void,
+  ): void {
     engine.running += 1;
-    // Half of it is the same for all, half is drawn.
-    const tookMs = load.workMs * (0.5 + random());
+    // Uniform between 0.5 and 1.5 times the mean.
+    const tookMs = load.meanRunMs * (0.5 + random());
     after(tookMs, () => {
       engine.running -= 1;
       onAnswer(true);
@@ -293,10 +301,10 @@
     });
   }
 
-  function tellLoads(): void {
+  function publishLoads(): void {
     const loads = sumLoads(gateways.map(({ table }) => table.getLoads()));
     gateways.forEach(({ table }) => table.takeLoads(loads));
-    after(LOADS_INTERVAL_MS, tellLoads);
+    after(LOADS_INTERVAL_MS, publishLoads);
   }
 
   function sample(): void {
@@ -311,17 +319,17 @@
     after(SAMPLE_INTERVAL_MS, sample);
   }
 
-  function askOn(): void {
+  function generateRequests(): void {
     tally.asked += 1;
-    ask({ firstMs: nowMs, returns: 0 });
+    submit({ firstSentMs: nowMs, retries: 0 });
     const gapMs = -Math.log(1 - random()) * 1_000 / load.askedPerS;
-    if (nowMs + gapMs < load.spanMs) after(gapMs, askOn);
+    if (nowMs + gapMs < load.durationMs) after(gapMs, generateRequests);
   }
 
-  askOn();
-  tellLoads();
+  generateRequests();
+  publishLoads();
   sample();
-  const endMs = load.spanMs + DEADLINE_MS;
+  const endMs = load.durationMs + DEADLINE_MS;
   for (let next = events.pop(); next; next = events.pop()) {
     if (next.atMs > endMs) break;
     nowMs = next.atMs;
--- a/measure/rest_model_test.ts
+++ b/measure/rest_model_test.ts
@@ -1,71 +1,80 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { playRests, type RestLoad } from "./rest_model.ts";
+import { type BackOffScenario, simulateBackOffs } from "./rest_model.ts";
 
-const WORK_MS = 85.7;
+const MEAN_RUN_MS = 85.7;
 
-/** What gateways did before: whoever turns requests away is asked again at once. */
-const BEFORE = { heedsRests: false, weighsNews: false, throttles: false };
+/** Gateways ignore back-offs and keep sending to engines that reject requests. */
+const IGNORED = {
+  respectsBackOffs: false,
+  discountsStaleLoads: false,
+  throttles: false,
+};
 
-/** Rests are heeded, and nothing else is done about them. */
-const HEEDED = {
-  heedsRests: true,
-  comeBack: { spreadShare: 0, firstWindow: Infinity },
-  weighsNews: false,
+/** Gateways respect back-offs, without slow start, load ageing or throttling. */
+const RESPECTED = {
+  respectsBackOffs: true,
+  slowStart: { spreadShare: 0, firstWindow: Infinity },
+  discountsStaleLoads: false,
   throttles: false,
 };
 
-const NOW = { heedsRests: true, weighsNews: true, throttles: true };
+const ALL_MECHANISMS = {
+  respectsBackOffs: true,
+  discountsStaleLoads: true,
+  throttles: true,
+};
 
-function play(
-  policy: typeof BEFORE | typeof HEEDED,
+function simulate(
+  policy: typeof IGNORED | typeof RESPECTED,
   { gateways, share }: { readonly gateways: number; readonly share: number },
 ) {
   const fleet = { gateways, engines: 12, slots: 6, queue: 4 };
-  const load: RestLoad = {
+  const load: BackOffScenario = {
     ...fleet,
-    workMs: WORK_MS,
-    askedPerS: share * fleet.engines * fleet.slots * 1_000 / WORK_MS,
-    spanMs: 8_000,
+    meanRunMs: MEAN_RUN_MS,
+    askedPerS: share * fleet.engines * fleet.slots * 1_000 / MEAN_RUN_MS,
+    durationMs: 8_000,
     backOffMs: 3_000,
     seed: 1,
     ...policy,
   };
-  const { asked, inTime, turnedAway, intruded, backedOffShare } = playRests(
-    load,
-  );
+  const { asked, inTime, rejected, duringBackOff, backedOffShare } =
+    simulateBackOffs(
+      load,
+    );
   return {
     inTime: inTime / asked,
-    turnedAway: turnedAway / asked,
-    intruded,
+    rejected: rejected / asked,
+    duringBackOff,
     backedOffShare,
   };
 }
 
-test("no request arrives within a rest, whatever the load", () => {
+test("no request arrives during a back-off, whatever the load", () => {
   for (const gateways of [11, 64]) {
     for (const share of [0.8, 1.6]) {
-      assert.ok(play(BEFORE, { gateways, share }).intruded > 0);
-      assert.is(play(NOW, { gateways, share }).intruded, 0);
+      assert.ok(simulate(IGNORED, { gateways, share }).duringBackOff > 0);
+      assert.is(simulate(ALL_MECHANISMS, { gateways, share }).duringBackOff, 0);
     }
   }
 });
 
-test("below what upstreams can bear nearly nobody is turned away", () => {
+test("below capacity slow start, load ageing and throttling halve the rejections", () => {
   const load = { gateways: 64, share: 0.8 };
-  const heeded = play(HEEDED, load);
-  const now = play(NOW, load);
-  assert.ok(now.turnedAway < heeded.turnedAway / 2);
-  assert.ok(now.inTime >= heeded.inTime);
+  const respected = simulate(RESPECTED, load);
+  const all = simulate(ALL_MECHANISMS, load);
+  assert.ok(all.rejected < respected.rejected / 2);
+  assert.ok(all.inTime >= respected.inTime);
 });
 
-test("above it fewer upstreams rest, and more callers are served in time", () => {
+test("above capacity fewer upstreams are backed off, and more callers are served in time", () => {
   const load = { gateways: 11, share: 1.2 };
-  const heeded = play(HEEDED, load);
-  const now = play(NOW, load);
-  assert.ok(now.inTime > 2 * heeded.inTime);
-  assert.ok(now.backedOffShare < heeded.backedOffShare);
-  assert.ok(now.turnedAway < heeded.turnedAway);
+  const respected = simulate(RESPECTED, load);
+  const all = simulate(ALL_MECHANISMS, load);
+  assert.ok(all.inTime > 2 * respected.inTime);
+  assert.ok(all.backedOffShare < respected.backedOffShare);
+  assert.ok(all.rejected < respected.rejected);
 });
 
 test.run();
