--- a/measure/choice_model.ts
+++ b/measure/choice_model.ts
@@ -1,6 +1,6 @@
 /**
- * Hundreds of gateways that choose paths by what the leader told of all loads a
- * while ago: engines refuse those for whom there is no room.
+ * Simulates gateways that choose paths by stale loads, as the leader last published
+ * them. Engines without free capacity reject the streams sent to them.
  *
  * @module
  */
@@ -27,29 +27,29 @@
 } from "../src/layers/index.ts";
 import type { LayeredModel } from "../src/routes/index.ts";
 
-/** The load that is played. */
-export interface ChoiceLoad {
+/** Simulated load, and how gateways choose paths. */
+export interface PathChoiceScenario {
   readonly gateways: number;
-  /** Streams that callers ask for in a second. */
+  /** Streams requested per second. */
   readonly askedPerS: number;
   readonly spanMs: number;
-  /** Whether gateways play through what the others have begun. */
+  /** Whether gateways estimate the streams that other gateways have started since. */
   readonly expectsOthers: boolean;
   readonly seed: number;
 }
 
-/** What callers and engines saw. */
-export interface ChoiceResult {
+/** Outcome for callers and engines. */
+export interface PathChoiceResult {
   readonly asked: number;
-  /** Streams that began, after a refusal or without. */
+  /** Streams that started, at the first attempt or a later one. */
   readonly begun: number;
-  /** Refusals by engines for want of room. */
+  /** Attempts that an engine rejected for lack of capacity. */
   readonly refusals: number;
-  /** Mean time of a token of those that began, in ms. */
+  /** Mean time per token of the streams that started, in ms. */
   readonly tokenMs: number;
 }
 
-/** A model of 140 GB in 80 layers. */
+/** A model of 140 GB with 80 layers. */
 const MODEL: LayeredModel = {
   layers: 80,
   layerMb: 1_750,
@@ -71,7 +71,7 @@
   ],
 };
 
-/** Cards of each data centre, in the order of the model's kinds. */
+/** Number of cards in each data centre, in the order of `MODEL.cards`. */
 const PLACES: Readonly<Record<string, readonly number[]>> = {
   p0: [1, 6, 16, 22],
   p1: [1, 2, 19, 22],
@@ -80,20 +80,20 @@
   p4: [1, 2, 19, 21],
 };
 
-/** Ms between two looks at the fleet. */
-const STEP_MS = 5;
+/** Time step of the simulation. */
+const TICK_MS = 5;
 
-/** Ms between two beats of a gateway. */
-const BEAT_MS = 350;
+/** Interval at which a gateway reports its loads to the leader. */
+const REPORT_INTERVAL_MS = 350;
 
-/** Ms between two pieces of the leader's news. */
-const NEWS_MS = 500;
+/** Interval at which the leader publishes the sum of all loads. */
+const PUBLISH_INTERVAL_MS = 500;
 
-/** Engines that a stream is sent to at most, as its route allows. */
-const MAX_TRIES = 4;
+/** Maximum number of attempts per stream, as its route allows. */
+const MAX_ATTEMPTS = 4;
 
-/** Ms to read a prompt. */
-const READ_MS = 60;
+/** Time to prefill a prompt. */
+const PREFILL_MS = 60;
 
 interface RunningStream {
   readonly gateway: number;
@@ -101,28 +101,30 @@
   readonly endMs: number;
 }
 
-/** What engines really have. */
-interface EngineTruth {
+/** Actual state of an engine, as opposed to what gateways know of it. */
+interface ActualEngine {
   tokens: number;
   requests: number;
-  readonly roomTokens: number;
+  readonly capacityTokens: number;
   readonly stepFactor: number;
 }
 
 /**
- * Plays a load over 216 engines of four kinds in five data centres.
+ * Simulates streams over 216 engines of four kinds in five data centres.
  *
- * @param load - The load.
- * @returns What callers and engines saw.
+ * @param load - Rate of streams, gateways, and how they choose paths.
+ * @returns Outcome for callers and engines.
  * @throws Nothing.
  * @example
- * const { refusals } = playChoices(load);
+ * const { refusals } = simulatePathChoice(load);
  */
-export function playChoices(load: ChoiceLoad): ChoiceResult {
+export function playChoices(load: PathChoiceScenario): PathChoiceResult {
   const random = createRandomSource(load.seed).number;
   const clock = { nowMs: 0 };
-  const records = layOut();
-  const truth = new Map(records.map((one) => [one.engineId, makeTruth(one)]));
+  const records = planEngines();
+  const actual = new Map(
+    records.map((one) => [one.engineId, makeActualEngine(one)]),
+  );
   const tables = Array.from({ length: load.gateways }, () => {
     const table = createEngineTable({
       now: () => clock.nowMs,
@@ -132,8 +134,8 @@
     table.take({ type: "engines", isWhole: true, engines: records, gone: [] });
     return table;
   });
-  const phasesMs = tables.map(() => random() * BEAT_MS);
-  const told: EngineLoads[] = tables.map(() => ({}));
+  const phasesMs = tables.map(() => random() * REPORT_INTERVAL_MS);
+  const reportedLoads: EngineLoads[] = tables.map(() => ({}));
   const places = Object.keys(PLACES);
   const getPlace = (gateway: number) => places[gateway % places.length];
   let running: RunningStream[] = [];
@@ -146,35 +148,35 @@
     const ended = running.filter(({ endMs }) => endMs <= clock.nowMs);
     running = running.filter(({ endMs }) => endMs > clock.nowMs);
     for (const { gateway, path } of ended) {
-      count(path, -1);
+      countWork(path, -1);
       tables[gateway].removeWork(path, { tokens: getUsualTokens(MODEL) });
     }
   }
 
-  function count(path: readonly AddressedPart[], requests: number): void {
-    const first = truth.get(path[0].engineId);
+  function countWork(path: readonly AddressedPart[], requests: number): void {
+    const first = actual.get(path[0].engineId);
     if (first) first.requests += requests;
     for (const { engineId } of path) {
-      const engine = truth.get(engineId);
+      const engine = actual.get(engineId);
       if (engine) engine.tokens += requests * getUsualTokens(MODEL);
     }
   }
 
-  function tellLoads(): void {
+  function exchangeLoads(): void {
     tables.forEach((table, at) => {
-      const isDue = (clock.nowMs + phasesMs[at]) % BEAT_MS < STEP_MS;
-      if (isDue) told[at] = table.getLoads();
+      const isDue = (clock.nowMs + phasesMs[at]) % REPORT_INTERVAL_MS < TICK_MS;
+      if (isDue) reportedLoads[at] = table.getLoads();
     });
-    if (clock.nowMs % NEWS_MS >= STEP_MS) return;
-    const sum = sumLoads(told);
+    if (clock.nowMs % PUBLISH_INTERVAL_MS >= TICK_MS) return;
+    const sum = sumLoads(reportedLoads);
     tables.forEach((table) => table.takeLoads(sum));
   }
 
-  function expect(table: EngineTable): ExpectedWork | undefined {
+  function estimateOthers(table: EngineTable): ExpectedWork | undefined {
     const ageS = table.getLoadsAgeMs() / 1_000;
     const begunRequests = load.askedPerS * ageS;
     if (!load.expectsOthers || begunRequests === Infinity) return undefined;
-    const inFlight = told.flatMap((one) => Object.values(one))
+    const inFlight = reportedLoads.flatMap((one) => Object.values(one))
       .reduce((sum, { requests }) => sum + requests, 0);
     return expectOthers({
       begunRequests,
@@ -207,16 +209,16 @@
     });
   }
 
-  function begin(gateway: number): void {
+  function route(gateway: number): void {
     const table = tables[gateway];
     const excluded = new Set<string>();
-    for (let tries = 0; tries < MAX_TRIES; tries++) {
-      const expected = expect(table);
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
+      const expected = estimateOthers(table);
       const place = getPlace(gateway);
       const path = choose(table, { place, excluded, expected });
       if (!path) return;
       const full = path.find(isFull);
-      if (!full) return start(gateway, path);
+      if (!full) return startStream(gateway, path);
       refusals += 1;
       excluded.add(full.engineId);
       table.noteFull(full.engineId);
@@ -224,33 +226,38 @@
   }
 
   function isFull({ engineId }: AddressedPart, at: number): boolean {
-    const engine = truth.get(engineId);
+    const engine = actual.get(engineId);
     if (!engine) return true;
     if (at === 0 && engine.requests >= MODEL.slots) return true;
-    return engine.tokens + getUsualTokens(MODEL) > engine.roomTokens;
+    return engine.tokens + getUsualTokens(MODEL) > engine.capacityTokens;
   }
 
-  function start(gateway: number, path: readonly AddressedPart[]): void {
-    const tokenMs = getTokenMs(path, truth);
+  function startStream(gateway: number, path: readonly AddressedPart[]): void {
+    const tokenMs = getTokenMs(path, actual);
     const answerTokens = (0.2 + 1.6 * random()) * MODEL.usualAnswerTokens;
-    const endMs = clock.nowMs + READ_MS + answerTokens * tokenMs;
-    count(path, 1);
+    const endMs = clock.nowMs + PREFILL_MS + answerTokens * tokenMs;
+    countWork(path, 1);
     tables[gateway].addWork(path, { tokens: getUsualTokens(MODEL) });
     running.push({ gateway, path, endMs });
     begun += 1;
     tokenMsSum += tokenMs;
   }
 
-  for (; clock.nowMs < load.spanMs; clock.nowMs += STEP_MS) {
+  for (; clock.nowMs < load.spanMs; clock.nowMs += TICK_MS) {
     endStreams();
-    tellLoads();
+    exchangeLoads();
     const due = load.askedPerS * clock.nowMs / 1_000;
-    for (; asked < due; asked++) begin(Math.floor(random() * load.gateways));
+    for (; asked < due; asked++) route(Math.floor(random() * load.gateways));
   }
-  return { asked, begun, refusals, tokenMs: tokenMsSum / Math.max(1, begun) };
+  return {
+    asked,
+    begun,
+    refusals,
+    tokenMs: tokenMsSum / Math.max(1, begun),
+  };
 }
 
-function layOut(): EngineRecord[] {
+function planEngines(): EngineRecord[] {
   const engines: (LayerEngine & { card: string })[] = Object.entries(PLACES)
     .flatMap(([place, counts]) =>
       MODEL.cards.flatMap(({ name, memoryMb, stepFactor }, kind) =>
@@ -285,20 +292,24 @@
   });
 }
 
-function makeTruth({ card: cardName, layers }: EngineRecord): EngineTruth {
+function makeActualEngine(
+  { card: cardName, layers }: EngineRecord,
+): ActualEngine {
   const card = MODEL.cards.find(({ name }) => name === cardName);
   const layerCount = layers ? layers.toLayer - layers.fromLayer : 1;
-  const roomTokens = getTokenRoom(card?.memoryMb ?? 0, MODEL, { layerCount });
+  const capacityTokens = getTokenRoom(card?.memoryMb ?? 0, MODEL, {
+    layerCount,
+  });
   const stepFactor = card?.stepFactor ?? 1;
-  return { tokens: 0, requests: 0, roomTokens, stepFactor };
+  return { tokens: 0, requests: 0, capacityTokens, stepFactor };
 }
 
 function getTokenMs(
   path: readonly AddressedPart[],
-  truth: ReadonlyMap<string, EngineTruth>,
+  actual: ReadonlyMap<string, ActualEngine>,
 ): number {
   return path.reduce((sum, { engineId, fromLayer, toLayer }) => {
-    const { tokens = 0, stepFactor = 1 } = truth.get(engineId) ?? {};
+    const { tokens = 0, stepFactor = 1 } = actual.get(engineId) ?? {};
     const requests = tokens / getUsualTokens(MODEL);
     const share = (toLayer - fromLayer) / MODEL.layers;
     return sum + share * stepFactor * getBatchStepMs(MODEL, { requests });
--- a/measure/layers.ts
+++ b/measure/layers.ts
@@ -1,6 +1,7 @@
 /**
- * Layers over mixed cards: the pace of paths by our designs, whole and after the
- * worst loss, beside the same room for tokens on every engine.
+ * Measures the layout of layers over mixed cards: the speed of paths in planned
+ * layouts and how many single-engine losses they survive, compared with a layout that
+ * gives every engine capacity for the same number of tokens.
  *
  * @module
  */
@@ -18,7 +19,7 @@
 } from "../src/layers/index.ts";
 import { printTable, type TableRow } from "./print_table.ts";
 
-/** A model of 140 GB in 80 layers. */
+/** A model of 140 GB with 80 layers. */
 const FIGURES: LayerFigures = {
   layers: 80,
   layerMb: 1_750,
@@ -31,17 +32,16 @@
   contextStepMs: 0.000_009,
 };
 
-/** Memory and step factor of each kind of card. */
+/** Memory of each kind of card, and its step time relative to the model's base step. */
 const CARDS = {
   large: { memoryMb: 72_000, stepFactor: 2.4 },
   medium: { memoryMb: 14_400, stepFactor: 5.3 },
   slow: { memoryMb: 21_600, stepFactor: 16 },
 };
 
-/** Cards of a data centre: how many of each kind. */
+/** Number of cards of each kind in a data centre. */
 type CardCounts = Readonly<Record<keyof typeof CARDS, number>>;
 
-/** The data centres that are measured. */
 const PLACES: readonly CardCounts[] = [
   { large: 2, medium: 4, slow: 4 },
   { large: 1, medium: 6, slow: 6 },
@@ -64,22 +64,26 @@
   );
 }
 
-/** The baseline: one copy, room for the same number of tokens everywhere. */
-export function spreadEvenly(engines: readonly LayerEngine[]): LayerHolder[] {
+/** Baseline: one copy of each layer, capacity for equally many tokens everywhere. */
+export function planEqualCapacity(
+  engines: readonly LayerEngine[],
+): LayerHolder[] {
   const tokens = findTokensInFlight(engines, FIGURES) ?? 0;
   const holders: LayerHolder[] = [];
   let fromLayer = 0;
   for (const { memoryMb, stepFactor } of engines) {
-    const room = getLayerRoom(memoryMb, FIGURES, { tokens });
-    const toLayer = Math.min(FIGURES.layers, fromLayer + room);
+    const capacity = getLayerRoom(memoryMb, FIGURES, { tokens });
+    const toLayer = Math.min(FIGURES.layers, fromLayer + capacity);
     if (toLayer > fromLayer) holders.push({ fromLayer, toLayer, stepFactor });
     fromLayer = toLayer;
   }
   return holders;
 }
 
-/** Ours: what the planner orders where nothing is held. */
-export function planAnew(engines: readonly LayerEngine[]): LayerHolder[] {
+/** Layout that the planner orders where no engine holds layers yet. */
+export function planFromScratch(
+  engines: readonly LayerEngine[],
+): LayerHolder[] {
   const orders = planLayerOrders(engines, {
     figures: FIGURES,
     mayRespread: () => true,
@@ -87,21 +91,23 @@
   return listOrderHolders(orders, engines);
 }
 
-/** Mean step factor of the fastest holders; infinite where a layer has none. */
-export function getPace(holders: readonly LayerHolder[]): number {
+/** Mean step factor of each layer's fastest holder; infinite where a layer has none. */
+export function getMeanStepFactor(holders: readonly LayerHolder[]): number {
   const fastest = makeCover(holders, FIGURES.layers)
     .map(([factor = Infinity]) => factor);
   return fastest.reduce((sum, one) => sum + one, 0) / FIGURES.layers;
 }
 
-function countSurvivable(holders: readonly LayerHolder[]): number {
+function countSurvivableLosses(holders: readonly LayerHolder[]): number {
   return holders
-    .filter((lost) => getPace(holders.filter((one) => one !== lost)) < Infinity)
+    .filter((removed) =>
+      getMeanStepFactor(holders.filter((one) => one !== removed)) < Infinity
+    )
     .length;
 }
 
-/** Prints how long a path over what is planned takes to find. */
-function measurePaths(): void {
+/** Prints the time of a path search over a planned layout. */
+function measurePathSearch(): void {
   printTable([3, 5, 8].map((places): TableRow => {
     const engines = Array.from(
       { length: places },
@@ -125,29 +131,31 @@
         placeCost: 12,
         maxParts: 32,
       });
-    for (let warm = 0; warm < PATHS; warm++) find();
+    for (let warm = 0; warm < PATH_SEARCHES; warm++) find();
     const startedMs = performance.now();
-    for (let found = 0; found < PATHS; found++) find();
-    const tookMs = (performance.now() - startedMs) / PATHS;
+    for (let found = 0; found < PATH_SEARCHES; found++) find();
+    const tookMs = (performance.now() - startedMs) / PATH_SEARCHES;
     return { engines: holders.length, "path ms": tookMs.toFixed(2) };
   }));
 }
 
-/** Paths that are found for one figure. */
-const PATHS = 200;
+/** Path searches that are averaged for one figure. */
+const PATH_SEARCHES = 200;
 
-/** Prints the designs of some data centres, and the time of large plans. */
+/** Prints layouts of some data centres, and the time of plans and path searches. */
 export function measureLayers(): void {
   printTable(PLACES.map((counts): TableRow => {
     const engines = makeLayerEngines(counts);
-    const even = spreadEvenly(engines);
-    const ours = planAnew(engines);
+    const even = planEqualCapacity(engines);
+    const ours = planFromScratch(engines);
     return {
       "large/medium/slow": Object.values(counts).join("/"),
-      "pace, even room": getPace(even).toFixed(2),
-      "pace, ours": getPace(ours).toFixed(2),
-      "losses borne, even room": `${countSurvivable(even)}/${even.length}`,
-      "losses borne, ours": `${countSurvivable(ours)}/${ours.length}`,
+      "pace, even room": getMeanStepFactor(even).toFixed(2),
+      "pace, ours": getMeanStepFactor(ours).toFixed(2),
+      "losses borne, even room": `${
+        countSurvivableLosses(even)
+      }/${even.length}`,
+      "losses borne, ours": `${countSurvivableLosses(ours)}/${ours.length}`,
     };
   }));
   printTable([3, 8].map((places): TableRow => {
@@ -156,11 +164,11 @@
         places === 3 ? PLACES[2] : { large: 12, medium: 30, slow: 33 },
         `p${at}`,
       )).flat();
-    planAnew(engines);
+    planFromScratch(engines);
     const startedMs = performance.now();
-    planAnew(engines);
+    planFromScratch(engines);
     const tookMs = performance.now() - startedMs;
     return { engines: engines.length, "plan ms": tookMs.toFixed(1) };
   }));
-  measurePaths();
+  measurePathSearch();
 }
--- a/measure/layers_test.ts
+++ b/measure/layers_test.ts
@@ -1,19 +1,24 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { getPace, makeLayerEngines, planAnew, spreadEvenly } from "./layers.ts";
+import {
+  getMeanStepFactor,
+  makeLayerEngines,
+  planEqualCapacity,
+  planFromScratch,
+} from "./layers.ts";
 
-test("paths are faster than with the same room for tokens on every engine", () => {
+test("planned paths are faster than with equal token capacity on every engine", () => {
   const engines = makeLayerEngines({ large: 1, medium: 10, slow: 4 });
-  // Before: 7.25 times the base step; after: 5.06.
-  assert.ok(getPace(spreadEvenly(engines)) > 7.2);
-  assert.ok(getPace(planAnew(engines)) < 5.1);
+  // 7.25 times the base step with equal capacity, 5.06 as planned.
+  assert.ok(getMeanStepFactor(planEqualCapacity(engines)) > 7.2);
+  assert.ok(getMeanStepFactor(planFromScratch(engines)) < 5.1);
 });
 
-test("two fast cards in one data centre halve the pace of its paths", () => {
+test("two fast cards in one data centre halve the step time of its paths", () => {
   const engines = makeLayerEngines({ large: 2, medium: 4, slow: 4 });
-  // Before: 7.06 times the base step; after: 3.47.
-  assert.ok(getPace(spreadEvenly(engines)) > 7);
-  assert.ok(getPace(planAnew(engines)) < 3.5);
+  // 7.06 times the base step with equal capacity, 3.47 as planned.
+  assert.ok(getMeanStepFactor(planEqualCapacity(engines)) > 7);
+  assert.ok(getMeanStepFactor(planFromScratch(engines)) < 3.5);
 });
 
 test.run();
--- a/measure/overload.ts
+++ b/measure/overload.ts
@@ -1,5 +1,5 @@
 /**
- * Overload: our admission and fair queue beside plain queues.
+ * Measures overload: admission control with the fair queue, compared with FIFO queues.
  *
  * @module
  */
@@ -15,21 +15,26 @@
 
 const LOADS = [0.5, 0.85, 1, 1.5, 2, 4];
 
-/** Measures overload. */
+/** Prints goodput, tail latency and losses by load and queue policy. */
 export function measureOverload(): void {
   printTable(LOADS.flatMap((load) =>
     POLICIES.map((policy) => {
-      // The small client account asks for the same whatever the large one does.
-      const smallPart = 0.05 / load;
-      const result = runOverloadModel({ policy, load, smallPart, seed: 1 });
+      // The small client account's request rate is the same at every load.
+      const smallShare = 0.05 / load;
+      const result = runOverloadModel({
+        policy,
+        load,
+        smallShare,
+        seed: 1,
+      });
       return {
         load,
         policy,
         goodput: result.goodput.toFixed(3),
         "small p99 ms": result.smallP99Ms,
-        "small lost": result.smallLost.toFixed(4),
+        "small lost": result.smallLostShare.toFixed(4),
         "large p99 ms": result.largeP99Ms,
-        "ran too late": result.wasted.toFixed(3),
+        "ran too late": result.lateShare.toFixed(3),
       };
     })
   ));
--- a/measure/overload_model.ts
+++ b/measure/overload_model.ts
@@ -1,6 +1,6 @@
 /**
- * Requests of a large and a small client account at one entry, beyond what its
- * upstreams can do: an event-driven run of admission and the fair queue.
+ * Discrete-event simulation of admission and the fair queue: one entry receives the
+ * requests of a large and a small client account, up to several times its capacity.
  *
  * @module
  */
@@ -18,46 +18,46 @@
   takeFromFairQueue,
 } from "../src/limits/index.ts";
 
-/** How requests wait. */
+/** How requests are queued; `ours` is admission control with the fair queue. */
 export type QueuePolicy = "ours" | "endless queue" | "bounded queue";
 
 /** Options of {@link runOverloadModel}. */
 export interface OverloadModelOptions {
   readonly policy: QueuePolicy;
-  /** What is asked for as a part of what can be done. */
+  /** Offered load as a share of the capacity. */
   readonly load: number;
-  /** Part of it that the small client account asks for. */
-  readonly smallPart: number;
+  /** Share of the offered load that comes from the small client account. */
+  readonly smallShare: number;
   readonly seed: number;
 }
 
-/** What a run measured. */
+/** Outcome of a simulation. */
 export interface OverloadResult {
-  /** Requests done before their deadline, as a part of what can be done. */
+  /** Requests completed before their deadline, as a share of the capacity. */
   readonly goodput: number;
   readonly smallP99Ms: number;
   readonly largeP99Ms: number;
-  /** Part of the small client account's requests that were refused or late. */
-  readonly smallLost: number;
-  /** Work that ran and was too late, as a part of all that ran. */
-  readonly wasted: number;
+  /** Share of the small client account's requests that were rejected or late. */
+  readonly smallLostShare: number;
+  /** Share of the completed requests that ended after their deadline. */
+  readonly lateShare: number;
 }
 
-/** Requests that run at once. */
+/** Requests that run concurrently. */
 const SLOTS = 64;
 
-/** Mean time, in ms, that a request runs. */
-const RUN_MS = 200;
+/** Mean run time of a request. */
+const MEAN_RUN_MS = 200;
 
-/** Time, in ms, that callers give a request. */
+/** Time that callers allow for a request. */
 const DEADLINE_MS = 2_000;
 
-/** Virtual time, in ms, of a run. */
-const LENGTH_MS = 60_000;
+/** Simulated time. */
+const DURATION_MS = 60_000;
 
 const MAX_QUEUED = 512;
 
-interface Waiting {
+interface QueuedRequest {
   readonly id: number;
   readonly account: "small" | "large";
   readonly arrivedMs: number;
@@ -68,51 +68,51 @@
   readonly run: () => void;
 }
 
-/** Runs the model. */
+/** Simulates one minute of requests at an entry. */
 export function runOverloadModel(
   options: OverloadModelOptions,
 ): OverloadResult {
-  const { policy, load, smallPart } = options;
+  const { policy, load, smallShare } = options;
   const random = createRandomSource(options.seed);
   const events = new TinyQueue<ModelEvent>([], (a, b) => a.atMs - b.atMs);
-  const capacityPerMs = SLOTS / RUN_MS;
+  const capacityPerMs = SLOTS / MEAN_RUN_MS;
   const latencies = { small: makeHistogram(), large: makeHistogram() };
   const inFlight = { small: 0, large: 0 };
   const arrived = { small: 0, large: 0 };
-  const good = { small: 0, large: 0 };
-  const byId = new Map<number, Waiting>();
-  const line: Waiting[] = [];
+  const inTime = { small: 0, large: 0 };
+  const byId = new Map<number, QueuedRequest>();
+  const fifoQueue: QueuedRequest[] = [];
   let queue = createFairQueue();
   let running = 0;
   let late = 0;
-  let ran = 0;
+  let completed = 0;
   let nowMs = 0;
   let nextId = 1;
-  let betweenEndsMs = 0;
+  let meanEndGapMs = 0;
   let lastEndMs = 0;
-  let runMs = 0;
+  let meanRunMs = 0;
 
-  function arrive(account: "small" | "large"): void {
-    const part = account === "small" ? smallPart : 1 - smallPart;
-    const meanMs = 1 / (capacityPerMs * load * part);
+  function scheduleArrival(account: "small" | "large"): void {
+    const share = account === "small" ? smallShare : 1 - smallShare;
+    const meanMs = 1 / (capacityPerMs * load * share);
     events.push({
       atMs: nowMs + random.exponential(meanMs),
       run: () => {
-        take({ id: nextId++, account, arrivedMs: nowMs });
-        if (nowMs < LENGTH_MS) arrive(account);
+        receive({ id: nextId++, account, arrivedMs: nowMs });
+        if (nowMs < DURATION_MS) scheduleArrival(account);
       },
     });
   }
 
-  function take(waiting: Waiting): void {
+  function receive(waiting: QueuedRequest): void {
     arrived[waiting.account] += 1;
-    if (policy === "ours") return takeOurs(waiting);
+    if (policy === "ours") return receiveWithAdmission(waiting);
     if (running < SLOTS) return start(waiting);
-    if (policy === "bounded queue" && line.length >= MAX_QUEUED) return;
-    line.push(waiting);
+    if (policy === "bounded queue" && fifoQueue.length >= MAX_QUEUED) return;
+    fifoQueue.push(waiting);
   }
 
-  function takeOurs(waiting: Waiting): void {
+  function receiveWithAdmission(waiting: QueuedRequest): void {
     const { ahead, last } = findFairQueuePlace(queue, makeItem(waiting));
     const decided = decideAdmission({
       inFlight: running,
@@ -123,9 +123,9 @@
       hasLater: last !== undefined,
       accountInFlight: inFlight[waiting.account],
       accountMaxInFlight: Infinity,
-      endedPerS: betweenEndsMs > 0 ? 1_000 / betweenEndsMs : 0,
+      endedPerS: meanEndGapMs > 0 ? 1_000 / meanEndGapMs : 0,
       timeLeftMs: DEADLINE_MS,
-      typicalRunMs: runMs,
+      typicalRunMs: meanRunMs,
     });
     if (decided.decision === "run") return start(waiting);
     if (decided.decision === "refuse") return;
@@ -137,45 +137,45 @@
     queue = addToFairQueue(queue, makeItem(waiting));
   }
 
-  function makeItem(waiting: Waiting) {
+  function makeItem(waiting: QueuedRequest) {
     return {
       id: waiting.id,
       clientAccount: waiting.account,
       weight: 1,
       priority: 5,
-      deadlineMs: waiting.arrivedMs + DEADLINE_MS - RUN_MARGIN * runMs,
+      deadlineMs: waiting.arrivedMs + DEADLINE_MS - RUN_MARGIN * meanRunMs,
     };
   }
 
-  function start(waiting: Waiting): void {
+  function start(waiting: QueuedRequest): void {
     running += 1;
     inFlight[waiting.account] += 1;
-    const durationMs = random.exponential(RUN_MS);
+    const durationMs = random.exponential(MEAN_RUN_MS);
     events.push({
       atMs: nowMs + durationMs,
       run: () => end(waiting, durationMs),
     });
   }
 
-  function end(waiting: Waiting, durationMs: number): void {
+  function end(waiting: QueuedRequest, durationMs: number): void {
     running -= 1;
-    ran += 1;
+    completed += 1;
     inFlight[waiting.account] -= 1;
-    runMs = average(runMs, durationMs);
+    meanRunMs = updateAverage(meanRunMs, durationMs);
     if (lastEndMs > 0) {
-      betweenEndsMs = average(betweenEndsMs, nowMs - lastEndMs);
+      meanEndGapMs = updateAverage(meanEndGapMs, nowMs - lastEndMs);
     }
     lastEndMs = nowMs;
     const latencyMs = nowMs - waiting.arrivedMs;
     latencies[waiting.account].recordValue(Math.max(1, Math.round(latencyMs)));
-    if (latencyMs <= DEADLINE_MS) good[waiting.account] += 1;
+    if (latencyMs <= DEADLINE_MS) inTime[waiting.account] += 1;
     else late += 1;
     startNext();
   }
 
   function startNext(): void {
     if (policy !== "ours") {
-      const next = line.shift();
+      const next = fifoQueue.shift();
       if (next) start(next);
       return;
     }
@@ -188,20 +188,20 @@
     start(next);
   }
 
-  arrive("small");
-  arrive("large");
-  while (nowMs < LENGTH_MS) {
+  scheduleArrival("small");
+  scheduleArrival("large");
+  while (nowMs < DURATION_MS) {
     const event = events.pop();
     if (!event) break;
     nowMs = event.atMs;
     event.run();
   }
   return {
-    goodput: (good.small + good.large) / (LENGTH_MS * capacityPerMs),
+    goodput: (inTime.small + inTime.large) / (DURATION_MS * capacityPerMs),
     smallP99Ms: latencies.small.getValueAtPercentile(99),
     largeP99Ms: latencies.large.getValueAtPercentile(99),
-    smallLost: 1 - good.small / arrived.small,
-    wasted: late / ran,
+    smallLostShare: 1 - inTime.small / arrived.small,
+    lateShare: late / completed,
   };
 }
 
@@ -209,6 +209,6 @@
   return build({ numberOfSignificantValueDigits: 3 });
 }
 
-function average(before: number, value: number): number {
+function updateAverage(before: number, value: number): number {
   return before === 0 ? value : before + 0.05 * (value - before);
 }
