--- a/measure/path.ts
+++ b/measure/path.ts
@@ -1,5 +1,6 @@
 /**
- * The way of a request: what an entry adds to calling the stand-in directly.
+ * Measures the request path: the latency and throughput cost of an entry, compared with
+ * calling the stand-in directly.
  *
  * @module
  */
@@ -23,7 +24,7 @@
 
 const HEADERS = { authorization: `Bearer ${ACCOUNT_KEY}` };
 
-/** Starts stand-ins in processes of their own. */
+/** Starts each stand-in in a separate process. */
 export async function startStandIns(
   kinds: readonly ("plain" | "engine")[],
 ): Promise<AsyncDisposable & { readonly addresses: readonly string[] }> {
@@ -41,7 +42,7 @@
   };
 }
 
-/** Measures the way of a request. */
+/** Prints load through an entry and directly, then claims, then memory use. */
 export async function measurePath(): Promise<void> {
   await using standIns = await startStandIns([
     "plain",
@@ -64,7 +65,7 @@
   });
   const entry = entries[0].address;
   const direct = () => ({ url: `${plain}/readings` });
-  const through = () => ({
+  const throughEntry = () => ({
     url: `${entry}/services/dashboard/readings`,
     headers: HEADERS,
   });
@@ -83,15 +84,19 @@
     return result;
   };
   const many = { concurrency: 64, requests: 20_000 };
-  await runLoad({ ...many, requests: 5_000, makeRequest: through });
+  await runLoad({ ...many, requests: 5_000, makeRequest: throughEntry });
   await run("direct, as many as go", { ...many, makeRequest: direct });
-  const full = await run("through, as many as go", {
+  const saturated = await run("through, as many as go", {
     ...many,
-    makeRequest: through,
+    makeRequest: throughEntry,
   });
-  const half = { concurrency: 64, requests: 10_000, ratePerS: full.perS / 2 };
+  const half = {
+    concurrency: 64,
+    requests: 10_000,
+    ratePerS: saturated.perS / 2,
+  };
   await run("direct, half of that", { ...half, makeRequest: direct });
-  await run("through, half of that", { ...half, makeRequest: through });
+  await run("through, half of that", { ...half, makeRequest: throughEntry });
   const completion = (stream: boolean) => (count: number) => ({
     url: `${entry}/v1/completions`,
     method: "POST" as const,
@@ -116,7 +121,7 @@
   const tokensPerS = Math.round(whole.perS * 32);
   process.stdout.write(`Tokens a second through one entry: ${tokensPerS}\n`);
   await measureClaims(entry);
-  await measureMemory(fleet.entries[0].getProcessId(), through);
+  await measureMemory(fleet.entries[0].getProcessId(), throughEntry);
 }
 
 async function measureClaims(entry: string): Promise<void> {
--- a/measure/placement.ts
+++ b/measure/placement.ts
@@ -1,5 +1,6 @@
 /**
- * Placement: the flow of our plans beside an even split and the bound.
+ * Measures placement: the token flow of planned placements, compared with an even split
+ * and with the upper bound.
  *
  * @module
  */
@@ -14,19 +15,19 @@
 } from "../src/placement/index.ts";
 import { printTable, type TableRow } from "./print_table.ts";
 
-/** Layers times tokens a second of the five kinds. */
+/** Layers times tokens per second, by kind of engine. */
 const LAYERS_PER_S = [4_000, 8_000, 16_000, 24_000, 32_000];
 
-/** Layers of the model that the memory of each kind holds. */
+/** Layers that fit into memory, by kind of engine. */
 const MAX_LAYERS = [8, 12, 16, 24, 40];
 
-/** Tokens a second of the links, a hundredfold apart. */
+/** Tokens per second of the links, up to a hundredfold apart. */
 const LINK_TOKENS_PER_S = [150, 1_500, 15_000];
 
-/** Layers of the measured model. */
+/** Number of layers of the measured model. */
 export const MODEL_LAYERS = 48;
 
-/** Makes engines of five kinds on unlike links, or of one kind. */
+/** Makes engines of five kinds on links of different speed, or all of one kind. */
 export function makePlacementEngines(
   count: number,
   mix: "mixed" | "uniform",
@@ -46,7 +47,7 @@
   });
 }
 
-/** The baseline: stages of one size, engines dealt out in turn. */
+/** Baseline: stages of equal size, with engines assigned round-robin. */
 function splitEvenly(
   engines: readonly PlacementEngine[],
   stages: number,
@@ -63,7 +64,7 @@
   });
 }
 
-/** Measures placement. */
+/** Prints the flow of planned placements for two fleet sizes. */
 export function measurePlacement(): void {
   const rows: TableRow[] = [];
   for (const count of [40, 600]) {
@@ -79,7 +80,7 @@
   const startedMs = performance.now();
   const plan = planPlacement(engines, { layerCount: MODEL_LAYERS });
   const tookMs = performance.now() - startedMs;
-  // The even split with the number of stages that serves it best.
+  // The best flow of the even split over several numbers of stages.
   const even = Math.max(
     ...[2, 3, 4, 6, 8, 12].map((stages) =>
       getPlacementFlow(splitEvenly(engines, stages), {
