--- a/measure/choice.ts
+++ b/measure/choice.ts
@@ -5,7 +5,7 @@
  * @module
  */
 
-import { playChoices } from "./choice_model.ts";
+import { simulatePathChoice } from "./choice_model.ts";
 import { printTable, type TableRow } from "./print_table.ts";
 
 /** Streams requested per second. */
@@ -23,8 +23,8 @@
   );
   printTable(cases.map((one): TableRow => {
     const load = { ...one, spanMs: DURATION_MS, seed: 7 };
-    const before = playChoices({ ...load, expectsOthers: false });
-    const after = playChoices({ ...load, expectsOthers: true });
+    const before = simulatePathChoice({ ...load, estimatesOthers: false });
+    const after = simulatePathChoice({ ...load, estimatesOthers: true });
     return {
       gateways: one.gateways,
       "asked/s": one.askedPerS,
--- a/measure/choice_model.ts
+++ b/measure/choice_model.ts
@@ -14,14 +14,14 @@
   type EngineTable,
 } from "../src/gateway/create_engine_table.ts";
 import {
-  type ExpectedWork,
-  expectOthers,
-} from "../src/gateway/expect_others.ts";
+  type EstimatedWork,
+  estimateOtherWork,
+} from "../src/gateway/estimate_other_work.ts";
 import type { AddressedPart } from "../src/gateway/protocol.ts";
 import {
   getBatchStepMs,
-  getTokenRoom,
-  getUsualTokens,
+  getMeanRequestTokens,
+  getTokenCapacity,
   type LayerEngine,
   planLayerOrders,
 } from "../src/layers/index.ts";
@@ -34,7 +34,7 @@
   readonly askedPerS: number;
   readonly spanMs: number;
   /** Whether gateways estimate the streams that other gateways have started since. */
-  readonly expectsOthers: boolean;
+  readonly estimatesOthers: boolean;
   readonly seed: number;
 }
 
@@ -118,7 +118,7 @@
  * @example
  * const { refusals } = simulatePathChoice(load);
  */
-export function playChoices(load: PathChoiceScenario): PathChoiceResult {
+export function simulatePathChoice(load: PathChoiceScenario): PathChoiceResult {
   const random = createRandomSource(load.seed).number;
   const clock = { nowMs: 0 };
   const records = planEngines();
@@ -129,9 +129,14 @@
     const table = createEngineTable({
       now: () => clock.nowMs,
       log: () => {},
-      onGone: () => {},
+      onRemoved: () => {},
+    });
+    table.applyUpdate({
+      type: "engines",
+      isWhole: true,
+      engines: records,
+      gone: [],
     });
-    table.take({ type: "engines", isWhole: true, engines: records, gone: [] });
     return table;
   });
   const phasesMs = tables.map(() => random() * REPORT_INTERVAL_MS);
@@ -149,7 +154,7 @@
     running = running.filter(({ endMs }) => endMs > clock.nowMs);
     for (const { gateway, path } of ended) {
       countWork(path, -1);
-      tables[gateway].removeWork(path, { tokens: getUsualTokens(MODEL) });
+      tables[gateway].removeWork(path, { tokens: getMeanRequestTokens(MODEL) });
     }
   }
 
@@ -158,7 +163,7 @@
     if (first) first.requests += requests;
     for (const { engineId } of path) {
       const engine = actual.get(engineId);
-      if (engine) engine.tokens += requests * getUsualTokens(MODEL);
+      if (engine) engine.tokens += requests * getMeanRequestTokens(MODEL);
     }
   }
 
@@ -169,19 +174,19 @@
     });
     if (clock.nowMs % PUBLISH_INTERVAL_MS >= TICK_MS) return;
     const sum = sumLoads(reportedLoads);
-    tables.forEach((table) => table.takeLoads(sum));
+    tables.forEach((table) => table.updateLoads(sum));
   }
 
-  function estimateOthers(table: EngineTable): ExpectedWork | undefined {
+  function estimateOthers(table: EngineTable): EstimatedWork | undefined {
     const ageS = table.getLoadsAgeMs() / 1_000;
     const begunRequests = load.askedPerS * ageS;
-    if (!load.expectsOthers || begunRequests === Infinity) return undefined;
+    if (!load.estimatesOthers || begunRequests === Infinity) return undefined;
     const inFlight = reportedLoads.flatMap((one) => Object.values(one))
       .reduce((sum, { requests }) => sum + requests, 0);
-    return expectOthers({
-      begunRequests,
+    return estimateOtherWork({
+      startedRequests: begunRequests,
       endedShare: Math.min(1, begunRequests / Math.max(1, inFlight)),
-      usualTokens: getUsualTokens(MODEL),
+      usualTokens: getMeanRequestTokens(MODEL),
       choose: (expected) =>
         choose(table, {
           place: getPlace(Math.floor(random() * load.gateways)),
@@ -197,14 +202,14 @@
     options: {
       readonly place: string;
       readonly excluded: ReadonlySet<string>;
-      readonly expected: ExpectedWork | undefined;
+      readonly expected: EstimatedWork | undefined;
     },
   ): AddressedPart[] | undefined {
     return choosePath(table.listUsable("model"), {
       model: MODEL,
       gatewayCount: 1,
       nowMs: clock.nowMs,
-      need: { tokens: getUsualTokens(MODEL), isNew: true },
+      need: { tokens: getMeanRequestTokens(MODEL), isNew: true },
       ...options,
     });
   }
@@ -229,7 +234,7 @@
     const engine = actual.get(engineId);
     if (!engine) return true;
     if (at === 0 && engine.requests >= MODEL.slots) return true;
-    return engine.tokens + getUsualTokens(MODEL) > engine.capacityTokens;
+    return engine.tokens + getMeanRequestTokens(MODEL) > engine.capacityTokens;
   }
 
   function startStream(gateway: number, path: readonly AddressedPart[]): void {
@@ -237,7 +242,7 @@
     const answerTokens = (0.2 + 1.6 * random()) * MODEL.usualAnswerTokens;
     const endMs = clock.nowMs + PREFILL_MS + answerTokens * tokenMs;
     countWork(path, 1);
-    tables[gateway].addWork(path, { tokens: getUsualTokens(MODEL) });
+    tables[gateway].addWork(path, { tokens: getMeanRequestTokens(MODEL) });
     running.push({ gateway, path, endMs });
     begun += 1;
     tokenMsSum += tokenMs;
@@ -272,8 +277,8 @@
     );
   const byId = new Map(engines.map((one) => [one.engineId, one]));
   const orders = planLayerOrders(engines, {
-    figures: MODEL,
-    mayRespread: () => true,
+    profile: MODEL,
+    mayRedistribute: () => true,
   });
   return orders.flatMap(({ engineId, ...layers }) => {
     const engine = byId.get(engineId);
@@ -297,7 +302,7 @@
 ): ActualEngine {
   const card = MODEL.cards.find(({ name }) => name === cardName);
   const layerCount = layers ? layers.toLayer - layers.fromLayer : 1;
-  const capacityTokens = getTokenRoom(card?.memoryMb ?? 0, MODEL, {
+  const capacityTokens = getTokenCapacity(card?.memoryMb ?? 0, MODEL, {
     layerCount,
   });
   const stepFactor = card?.stepFactor ?? 1;
@@ -310,7 +315,7 @@
 ): number {
   return path.reduce((sum, { engineId, fromLayer, toLayer }) => {
     const { tokens = 0, stepFactor = 1 } = actual.get(engineId) ?? {};
-    const requests = tokens / getUsualTokens(MODEL);
+    const requests = tokens / getMeanRequestTokens(MODEL);
     const share = (toLayer - fromLayer) / MODEL.layers;
     return sum + share * stepFactor * getBatchStepMs(MODEL, { requests });
   }, 0);
--- a/measure/failover.ts
+++ b/measure/failover.ts
@@ -10,8 +10,8 @@
   freezeLeader,
   killAll,
   killLeader,
-  loseDisksInTurn,
   stopLeader,
+  wipeDisksInTurn,
 } from "./failover_scenarios.ts";
 import { printTable } from "./print_table.ts";
 
@@ -28,7 +28,7 @@
   reports.push(await freezeLeader(fleet, { frozenMs: 5_000 }));
   reports.push(await stopLeader(fleet));
   reports.push(await killAll(fleet));
-  reports.push(await loseDisksInTurn(fleet));
+  reports.push(await wipeDisksInTurn(fleet));
   printTable(reports.map((report) => ({
     scenario: report.scenario,
     "accepted": report.accepted,
--- a/measure/failover_scenarios.ts
+++ b/measure/failover_scenarios.ts
@@ -203,7 +203,7 @@
  * Deletes the data folder of a follower and, once its replacement is a voter,
  * that of the leader.
  */
-export async function loseDisksInTurn(fleet: Fleet): Promise<FailoverReport> {
+export async function wipeDisksInTurn(fleet: Fleet): Promise<FailoverReport> {
   const stream = startChanges(fleet, `disks-${Date.now().toString(36)}`);
   await waitForAccepted(stream, 30);
   const leader = await findLeader(fleet);
--- a/measure/layers.ts
+++ b/measure/layers.ts
@@ -9,18 +9,18 @@
 import {
   findLayerPath,
   findTokensInFlight,
-  getLayerRoom,
+  getLayerCapacity,
   type LayerEngine,
-  type LayerFigures,
   type LayerHolder,
   listOrderHolders,
   makeCover,
+  type ModelProfile,
   planLayerOrders,
 } from "../src/layers/index.ts";
 import { printTable, type TableRow } from "./print_table.ts";
 
 /** A model of 140 GB with 80 layers. */
-const FIGURES: LayerFigures = {
+const FIGURES: ModelProfile = {
   layers: 80,
   layerMb: 1_750,
   kvTokenBytes: 845_000,
@@ -72,7 +72,7 @@
   const holders: LayerHolder[] = [];
   let fromLayer = 0;
   for (const { memoryMb, stepFactor } of engines) {
-    const capacity = getLayerRoom(memoryMb, FIGURES, { tokens });
+    const capacity = getLayerCapacity(memoryMb, FIGURES, { tokens });
     const toLayer = Math.min(FIGURES.layers, fromLayer + capacity);
     if (toLayer > fromLayer) holders.push({ fromLayer, toLayer, stepFactor });
     fromLayer = toLayer;
@@ -85,8 +85,8 @@
   engines: readonly LayerEngine[],
 ): LayerHolder[] {
   const orders = planLayerOrders(engines, {
-    figures: FIGURES,
-    mayRespread: () => true,
+    profile: FIGURES,
+    mayRedistribute: () => true,
   });
   return listOrderHolders(orders, engines);
 }
@@ -114,8 +114,8 @@
       (_, at) => makeLayerEngines(PLACES[3], `p${at}`),
     ).flat();
     const orders = planLayerOrders(engines, {
-      figures: FIGURES,
-      mayRespread: () => true,
+      profile: FIGURES,
+      mayRedistribute: () => true,
     });
     const byId = new Map(engines.map((one) => [one.engineId, one]));
     const holders = orders.map((order) => {
--- a/measure/limits.ts
+++ b/measure/limits.ts
@@ -4,7 +4,7 @@
  * @module
  */
 
-import { createLimitDesk } from "../src/fleet/create_limit_desk.ts";
+import { createLimitCoordinator } from "../src/fleet/create_limit_coordinator.ts";
 import {
   divideEvenly,
   type DivideLimit,
@@ -58,7 +58,7 @@
 }
 
 function measureCost(): TableRow {
-  const coordinator = createLimitDesk({
+  const coordinator = createLimitCoordinator({
     publish: () => {},
     firstVersion: Date.now(),
     now: () => performance.now(),
--- a/measure/limits_model.ts
+++ b/measure/limits_model.ts
@@ -8,7 +8,7 @@
 
 import { countMostInWindow } from "../proof/count_most_in_window.ts";
 import { createRandomSource } from "../proof/random_source.ts";
-import { createLimitDesk } from "../src/fleet/create_limit_desk.ts";
+import { createLimitCoordinator } from "../src/fleet/create_limit_coordinator.ts";
 import { takeToken, type TokenBucket } from "../src/limits/index.ts";
 
 /** Demand on one rate-limited upstream, and how its limit is divided. */
@@ -158,7 +158,7 @@
  */
 export const grantOnRequest: DivideLimit = (options) => {
   const { gateways, limitPerS, now, countMessage } = options;
-  const coordinator = createLimitDesk({
+  const coordinator = createLimitCoordinator({
     publish: () => {},
     firstVersion: 1,
     now,
--- a/measure/load.ts
+++ b/measure/load.ts
@@ -30,12 +30,12 @@
 
 /** Result of a load run. */
 export interface LoadResult {
-  readonly perS: number;
+  readonly throughputPerS: number;
   readonly p50Ms: number;
   readonly p99Ms: number;
-  readonly wrong: number;
+  readonly failures: number;
   /** Median time to the first byte of the body, in ms. */
-  readonly firstP50Ms: number;
+  readonly firstByteP50Ms: number;
 }
 
 /** Sends the requests and measures latencies, throughput and failures. */
@@ -85,11 +85,11 @@
   const elapsedS = (performance.now() - startedMs) / 1_000;
   await agent.close();
   return {
-    perS: requests / elapsedS,
+    throughputPerS: requests / elapsedS,
     p50Ms: latencyHistogram.getValueAtPercentile(50) / 1_000,
     p99Ms: latencyHistogram.getValueAtPercentile(99) / 1_000,
-    wrong: failedCount,
-    firstP50Ms: firstByte.getValueAtPercentile(50) / 1_000,
+    failures: failedCount,
+    firstByteP50Ms: firstByte.getValueAtPercentile(50) / 1_000,
   };
 }
 
--- a/measure/overload_model.ts
+++ b/measure/overload_model.ts
@@ -12,9 +12,9 @@
   addToFairQueue,
   createFairQueue,
   decideAdmission,
-  findFairQueuePlace,
+  findFairQueuePosition,
   removeFromFairQueue,
-  RUN_MARGIN,
+  RUN_TIME_MARGIN,
   takeFromFairQueue,
 } from "../src/limits/index.ts";
 
@@ -113,14 +113,14 @@
   }
 
   function receiveWithAdmission(waiting: QueuedRequest): void {
-    const { ahead, last } = findFairQueuePlace(queue, makeItem(waiting));
+    const { ahead, last } = findFairQueuePosition(queue, makeItem(waiting));
     const decided = decideAdmission({
       inFlight: running,
       maxInFlight: SLOTS,
       queued: byId.size,
       maxQueued: MAX_QUEUED,
       queuedAhead: ahead,
-      hasLater: last !== undefined,
+      canDisplace: last !== undefined,
       accountInFlight: inFlight[waiting.account],
       accountMaxInFlight: Infinity,
       endedPerS: meanEndGapMs > 0 ? 1_000 / meanEndGapMs : 0,
@@ -143,7 +143,7 @@
       clientAccount: waiting.account,
       weight: 1,
       priority: 5,
-      deadlineMs: waiting.arrivedMs + DEADLINE_MS - RUN_MARGIN * meanRunMs,
+      deadlineMs: waiting.arrivedMs + DEADLINE_MS - RUN_TIME_MARGIN * meanRunMs,
     };
   }
 
--- a/measure/path.ts
+++ b/measure/path.ts
@@ -93,7 +93,7 @@
   const half = {
     concurrency: 64,
     requests: 10_000,
-    ratePerS: saturated.perS / 2,
+    ratePerS: saturated.throughputPerS / 2,
   };
   await run("direct, half of that", { ...half, makeRequest: direct });
   await run("through, half of that", { ...half, makeRequest: throughEntry });
@@ -118,7 +118,7 @@
     makeRequest: completion(true),
   });
   printTable(rows);
-  const tokensPerS = Math.round(whole.perS * 32);
+  const tokensPerS = Math.round(whole.throughputPerS * 32);
   process.stdout.write(`Tokens a second through one entry: ${tokensPerS}\n`);
   await measureClaims(entry);
   await measureMemory(fleet.entries[0].getProcessId(), throughEntry);
@@ -161,10 +161,10 @@
 function describeLoad(name: string, result: LoadResult): TableRow {
   return {
     load: name,
-    "a second": Math.round(result.perS),
+    "a second": Math.round(result.throughputPerS),
     "p50 ms": result.p50Ms.toFixed(2),
     "p99 ms": result.p99Ms.toFixed(2),
-    "first byte p50 ms": result.firstP50Ms.toFixed(2),
-    wrong: result.wrong,
+    "first byte p50 ms": result.firstByteP50Ms.toFixed(2),
+    wrong: result.failures,
   };
 }
--- a/measure/profile.ts
+++ b/measure/profile.ts
@@ -154,7 +154,7 @@
         place: PLACES[at % PLACES.length],
         controlAddresses: CONTROL_ADDRESSES,
         card: at % 10 === 0 ? "fast" : at % 3 === 0 ? "middle" : "slow",
-        beatIntervalMs: 1_200,
+        heartbeatPeriodMs: 1_200,
         eventIntervalMs: EVENT_INTERVAL_MS,
         events: EVENTS_PER_STREAM,
       })),
--- a/measure/rest.ts
+++ b/measure/rest.ts
@@ -5,7 +5,7 @@
  * @module
  */
 
-import type { ComeBack } from "../src/gateway/create_engine_notices.ts";
+import type { SlowStart } from "../src/gateway/create_engine_notices.ts";
 import { printTable, type TableRow } from "./print_table.ts";
 import { type BackOffScenario, simulateBackOffs } from "./rest_model.ts";
 
@@ -15,7 +15,7 @@
   "respectsBackOffs" | "slowStart" | "discountsStaleLoads" | "throttles"
 >;
 
-function makeBackOffPolicy(slowStart: ComeBack): BackOffPolicy {
+function makeBackOffPolicy(slowStart: SlowStart): BackOffPolicy {
   return {
     respectsBackOffs: true,
     slowStart,
@@ -31,10 +31,13 @@
     discountsStaleLoads: false,
     throttles: false,
   },
-  heeded: makeBackOffPolicy({ spreadShare: 0, firstWindow: Infinity }),
-  "back spread": makeBackOffPolicy({ spreadShare: 0.1, firstWindow: Infinity }),
-  "back one first": makeBackOffPolicy({ spreadShare: 0, firstWindow: 1 }),
-  "back both": makeBackOffPolicy({ spreadShare: 0.1, firstWindow: 1 }),
+  heeded: makeBackOffPolicy({ jitterShare: 0, initialWindow: Infinity }),
+  "back spread": makeBackOffPolicy({
+    jitterShare: 0.1,
+    initialWindow: Infinity,
+  }),
+  "back one first": makeBackOffPolicy({ jitterShare: 0, initialWindow: 1 }),
+  "back both": makeBackOffPolicy({ jitterShare: 0.1, initialWindow: 1 }),
   "and news by age": {
     respectsBackOffs: true,
     discountsStaleLoads: true,
--- a/measure/rest_model.ts
+++ b/measure/rest_model.ts
@@ -9,11 +9,14 @@
 import { createRandomSource } from "../proof/random_source.ts";
 import { sumLoads } from "../src/fleet/index.ts";
 import { isBusy } from "../src/gateway/admit_call.ts";
-import { chooseEngine, getKeptShare } from "../src/gateway/choose_engine.ts";
 import {
-  type ComeBack,
+  chooseEngine,
+  estimateRunningShare,
+} from "../src/gateway/choose_engine.ts";
+import {
   createEngineNotices,
   type EngineNotices,
+  type SlowStart,
 } from "../src/gateway/create_engine_notices.ts";
 import {
   createEngineTable,
@@ -24,12 +27,12 @@
   createBackOffThrottle,
 } from "../src/gateway/create_back_off_throttle.ts";
 import {
-  createUsualTimes,
-  type UsualTimes,
-} from "../src/gateway/create_usual_times.ts";
+  createResponseTimes,
+  type ResponseTimes,
+} from "../src/gateway/create_response_times.ts";
 import type { EngineView } from "../src/gateway/engine_view.ts";
 import { getBackOffWaitMs } from "../src/gateway/get_back_off_wait_ms.ts";
-import { spreadReturnMs } from "../src/gateway/spread_return_ms.ts";
+import { jitterRetryAfterMs } from "../src/gateway/jitter_retry_after_ms.ts";
 
 /** Simulated load and fleet, and how gateways handle back-offs. */
 export interface BackOffScenario {
@@ -47,7 +50,7 @@
   /** Whether gateways respect back-offs. */
   readonly respectsBackOffs: boolean;
   /** How gateways resume sending after a back-off; by default as in production. */
-  readonly slowStart?: ComeBack;
+  readonly slowStart?: SlowStart;
   /** Whether reported loads count for less as they age. */
   readonly discountsStaleLoads: boolean;
   /** Whether new requests are throttled while many engines are backed off. */
@@ -95,7 +98,7 @@
   readonly table: EngineTable;
   readonly notices: EngineNotices;
   readonly throttle: BackOffThrottle;
-  readonly usualTimes: UsualTimes;
+  readonly usualTimes: ResponseTimes;
 }
 
 interface Engine {
@@ -146,12 +149,12 @@
       random,
       log: () => {},
       metrics: { count: () => {} },
-      comeBack: load.slowStart,
+      slowStart: load.slowStart,
     });
     const table = createEngineTable({
       now: () => nowMs,
       log: () => {},
-      onGone: () => {},
+      onRemoved: () => {},
       notices: load.respectsBackOffs ? notices : undefined,
     });
     const records = engines.map((_, at) => ({
@@ -162,9 +165,14 @@
       slots: load.slots,
       isLeaving: false,
     }));
-    table.take({ type: "engines", isWhole: true, engines: records, gone: [] });
+    table.applyUpdate({
+      type: "engines",
+      isWhole: true,
+      engines: records,
+      gone: [],
+    });
     const throttle = createBackOffThrottle({ now: () => nowMs });
-    return { table, notices, throttle, usualTimes: createUsualTimes() };
+    return { table, notices, throttle, usualTimes: createResponseTimes() };
   }
 
   function submit(caller: Caller): void {
@@ -185,15 +193,15 @@
   function attemptNext(caller: Caller, call: Call): void {
     const { table, usualTimes } = gateways[call.at];
     const ageMs = table.getLoadsAgeMs();
-    const usualMs = usualTimes.getMs(SERVICE);
+    const usualMs = usualTimes.getMeanMs(SERVICE);
     const engine = call.tries < MAX_ATTEMPTS
       ? chooseEngine(table.listUsable(SERVICE), {
         place: "p",
         excluded: call.excluded,
         nowMs,
         random: random(),
-        keptShare: load.discountsStaleLoads
-          ? getKeptShare({ ageMs, usualMs })
+        runningShare: load.discountsStaleLoads
+          ? estimateRunningShare({ ageMs, usualMs })
           : 1,
       })
       : undefined;
@@ -213,7 +221,7 @@
   function scheduleRetry(caller: Caller, minWaitMs: number): void {
     const waitMs = minWaitMs === 0
       ? RETRY_AFTER_MS
-      : spreadReturnMs(Math.max(RETRY_AFTER_MS, minWaitMs), random());
+      : jitterRetryAfterMs(Math.max(RETRY_AFTER_MS, minWaitMs), random());
     const remainingMs = caller.firstSentMs + DEADLINE_MS - nowMs;
     // Callers retry once, after at most a third of their remaining time.
     if (caller.retries > 0 || remainingMs <= 0) return;
@@ -235,9 +243,9 @@
     function onAnswer(isAccepted: boolean): void {
       after(NETWORK_MS, () => {
         engine.inFlight -= 1;
-        engine.toldLoad = getReportedLoad(engines[Number(engineId)]);
+        engine.reportedLoad = getReportedLoad(engines[Number(engineId)]);
         if (!isAccepted) {
-          notices.take(engineId, {
+          notices.record(engineId, {
             backOffMs: load.backOffMs,
             isLeaving: false,
           });
@@ -246,7 +254,7 @@
             backedOffShare: resting / load.engines,
           });
         }
-        endSend({ isTaken: isAccepted });
+        endSend({ isAccepted: isAccepted });
         if (isAccepted) {
           usualTimes.noteAnswer(SERVICE, { tookMs: nowMs - sentMs });
           throttle.noteServed(SERVICE);
@@ -303,7 +311,7 @@
 
   function publishLoads(): void {
     const loads = sumLoads(gateways.map(({ table }) => table.getLoads()));
-    gateways.forEach(({ table }) => table.takeLoads(loads));
+    gateways.forEach(({ table }) => table.updateLoads(loads));
     after(LOADS_INTERVAL_MS, publishLoads);
   }
 
--- a/measure/rest_model_test.ts
+++ b/measure/rest_model_test.ts
@@ -14,7 +14,7 @@
 /** Gateways respect back-offs, without slow start, load ageing or throttling. */
 const RESPECTED = {
   respectsBackOffs: true,
-  slowStart: { spreadShare: 0, firstWindow: Infinity },
+  slowStart: { jitterShare: 0, initialWindow: Infinity },
   discountsStaleLoads: false,
   throttles: false,
 };
--- a/measure/rollout.ts
+++ b/measure/rollout.ts
@@ -14,7 +14,7 @@
 } from "../src/fleet/index.ts";
 import { createConfigHistory } from "../src/fleet/create_config_history.ts";
 import { createConfigMessages } from "../src/fleet/create_config_messages.ts";
-import { createHeldConfig } from "../src/gateway/create_held_config.ts";
+import { createActiveConfig } from "../src/gateway/create_active_config.ts";
 import { findConfigProblems } from "../src/routes/index.ts";
 import { makeLargeWireConfig } from "../standins/index.ts";
 import { until } from "../demo/until.ts";
@@ -95,8 +95,8 @@
   const from = makeConfigVersion(3, { routes });
   const to = makeConfigVersion(5, { routes: routes + added });
   const history = createConfigHistory({ decodeConfig });
-  history.note(from);
-  history.note(to);
+  history.add(from);
+  history.add(to);
   const messages = createConfigMessages({
     history,
     format: (message) => formatLeaderMessage(message, createEngineNumbers()),
@@ -119,10 +119,10 @@
   const [validateMs] = measureTime(() =>
     findConfigProblems(history.read(to.packed))
   );
-  const gatewayConfig = createHeldConfig({
+  const gatewayConfig = createActiveConfig({
     decodeConfig,
     onChange: () => {},
-    onUnfit: () => {
+    onBaseMismatch: () => {
       throw new Error(
         "the change does not apply to the version that the gateway holds",
       );
@@ -131,11 +131,11 @@
     log: () => {},
     metrics: { timing: () => {} },
   });
-  gatewayConfig.take({ type: "config", ...from });
+  gatewayConfig.applyFull({ type: "config", ...from });
   const [applyMs] = measureTime(() => {
     const message = parseLeaderMessage(leaderMessage, createEngineNumbers());
-    if (message.type === "config") gatewayConfig.take(message);
-    if (message.type === "configChange") gatewayConfig.takeChange(message);
+    if (message.type === "config") gatewayConfig.applyFull(message);
+    if (message.type === "configChange") gatewayConfig.applyChange(message);
   });
   return {
     routes,
--- a/proof/crash_soak.ts
+++ b/proof/crash_soak.ts
@@ -6,8 +6,8 @@
  */
 
 import {
-  MOST_ENDS,
-  MOST_LATE_ENDS,
+  MAX_CRASHES,
+  MAX_LATE_CRASHES,
 } from "../test/support/crash_soak_limits.ts";
 import { runCrashSoak } from "../test/support/run_crash_soak.ts";
 import { runSeeds } from "./play_seeds.ts";
@@ -18,6 +18,6 @@
   runSeed: (seed) => runCrashSoak({ seed, lengthMs: LENGTH_MS }),
   isBad: (report) =>
     report.wronglyHeld + report.spoilt + report.ranTwice > 0 ||
-    report.lateEnds > MOST_LATE_ENDS ||
-    Object.values(report.endsByBody).some((ends) => ends > MOST_ENDS),
+    report.lateEnds > MAX_LATE_CRASHES ||
+    Object.values(report.endsByBody).some((ends) => ends > MAX_CRASHES),
 });
--- a/proof/rest_soak.ts
+++ b/proof/rest_soak.ts
@@ -6,7 +6,7 @@
  */
 
 import {
-  MOST_WITHIN_REST,
+  MAX_REQUESTS_IN_BACK_OFF,
   runRestSoak,
 } from "../test/support/run_rest_soak.ts";
 import { runSeeds } from "./play_seeds.ts";
@@ -16,6 +16,6 @@
 await runSeeds({
   runSeed: (seed) => runRestSoak({ seed, lengthMs: LENGTH_MS }),
   isBad: ({ worstRest, lateAtHearer, lateAnywhere, spoilt, ranTwice }) =>
-    worstRest > MOST_WITHIN_REST ||
+    worstRest > MAX_REQUESTS_IN_BACK_OFF ||
     lateAtHearer + lateAnywhere + spoilt + ranTwice > 0,
 });
--- a/proof/schedule_entry.ts
+++ b/proof/schedule_entry.ts
@@ -24,7 +24,7 @@
 }) {
   const { random, fail, injectedFault } = options;
   let config: ConfigReplica = createConfigReplica();
-  const delayedUpdates: Parameters<ConfigReplica["take"]>[0][] = [];
+  const delayedUpdates: Parameters<ConfigReplica["applyUpdate"]>[0][] = [];
   let highestRevision = 0;
 
   function offer(state: ResourceState): void {
@@ -49,7 +49,7 @@
       1,
     );
     if (injectedFault === "take_any_revision") config = createConfigReplica();
-    const outcome = config.take(update);
+    const outcome = config.applyUpdate(update);
     const now = config.getState();
     if (now.revision < highestRevision) fail("an entry's revision decreased");
     highestRevision = now.revision;
--- a/src/clocks/create_elapsed_clock.ts
+++ b/src/clocks/create_elapsed_clock.ts
@@ -28,7 +28,7 @@
    * Steady time, in ms, at which the last suspension was detected; -Infinity if there
    * was none. Anything confirmed before it must be confirmed again.
    */
-  getWokeMs(): number;
+  getLastWakeMs(): number;
 }
 
 /**
@@ -79,7 +79,7 @@
 
   return {
     now: () => read() + suspendedMs,
-    getWokeMs() {
+    getLastWakeMs() {
       read();
       return lastWakeMs;
     },
--- a/src/clocks/create_elapsed_clock_test.ts
+++ b/src/clocks/create_elapsed_clock_test.ts
@@ -31,7 +31,7 @@
     clock.now();
   }
   assert.is(Math.round(clock.now()), 4_300);
-  assert.is(clock.getWokeMs(), -Infinity);
+  assert.is(clock.getLastWakeMs(), -Infinity);
 });
 
 test("a suspension is counted at the first reading after it", () => {
@@ -39,7 +39,7 @@
   pass(500);
   suspend(6_000);
   assert.is(Math.round(clock.now()), 7_500);
-  assert.is(clock.getWokeMs(), 1_500);
+  assert.is(clock.getLastWakeMs(), 1_500);
 });
 
 test("setting the wall clock back is ignored and hides no later suspension", () => {
--- a/src/clocks/create_listening_clock.ts
+++ b/src/clocks/create_listening_clock.ts
@@ -15,11 +15,11 @@
   /** Ms for which messages could be received; it never goes back. */
   now(): number;
   /** Records that the event loop is running. */
-  look(options?: LookOptions): void;
+  tick(options?: TickOptions): void;
 }
 
-/** Options of {@link ListeningClock.look}. */
-export interface LookOptions {
+/** Options of {@link ListeningClock.tick}. */
+export interface TickOptions {
   /** Whether messages are processed from now on; true by default. */
   readonly isListening?: boolean;
 }
@@ -29,7 +29,7 @@
   /** Monotonic time, in ms. */
   readonly now: () => number;
   /** Interval between calls of `look`; a gap counts for at most 1.5 intervals. */
-  readonly lookIntervalMs: number;
+  readonly tickIntervalMs: number;
   /** Whether it counts before the first call of `look`; true by default. */
   readonly isListening?: boolean;
 }
@@ -44,13 +44,13 @@
  * @returns The clock.
  * @throws Nothing.
  * @example
- * const listening = createListeningClock({ now, lookIntervalMs: 250 });
+ * const listening = createListeningClock({ now, tickIntervalMs: 250 });
  * setInterval(() => listening.look(), 250);
  */
 export function createListeningClock(
   options: CreateListeningClockOptions,
 ): ListeningClock {
-  const { now, lookIntervalMs } = options;
+  const { now, tickIntervalMs: lookIntervalMs } = options;
   const maxStepMs = lookIntervalMs * MAX_COUNTED_INTERVALS;
   let { isListening = true } = options;
   let countedMs = 0;
@@ -63,7 +63,7 @@
 
   return {
     now: read,
-    look({ isListening: nextIsListening = true } = {}) {
+    tick({ isListening: nextIsListening = true } = {}) {
       countedMs = read();
       lastLookMs = now();
       isListening = nextIsListening;
--- a/src/clocks/create_listening_clock_test.ts
+++ b/src/clocks/create_listening_clock_test.ts
@@ -8,7 +8,7 @@
   let nowMs = 5_000;
   const clock = createListeningClock({
     now: () => nowMs,
-    lookIntervalMs: LOOK_INTERVAL_MS,
+    tickIntervalMs: LOOK_INTERVAL_MS,
   });
   return { clock, pass: (ms: number) => void (nowMs += ms) };
 }
@@ -17,7 +17,7 @@
   const { clock, pass } = startClock();
   for (let at = 0; at < 50; at++) {
     pass(LOOK_INTERVAL_MS);
-    clock.look();
+    clock.tick();
   }
   pass(40);
   assert.is(clock.now(), 5_040);
@@ -27,7 +27,7 @@
   const { clock, pass } = startClock();
   pass(4_000);
   assert.is(clock.now(), 150);
-  clock.look();
+  clock.tick();
   pass(10);
   assert.is(clock.now(), 160);
 });
@@ -35,9 +35,9 @@
 test("it stops while messages are not processed", () => {
   const { clock, pass } = startClock();
   pass(100);
-  clock.look({ isListening: false });
+  clock.tick({ isListening: false });
   pass(3_000);
-  clock.look({ isListening: true });
+  clock.tick({ isListening: true });
   assert.is(clock.now(), 100);
   pass(60);
   assert.is(clock.now(), 160);
--- a/src/clocks/index.ts
+++ b/src/clocks/index.ts
@@ -6,4 +6,4 @@
 
 export * from "./create_elapsed_clock.ts";
 export * from "./create_listening_clock.ts";
-export * from "./start_loop_watch.ts";
+export * from "./start_event_loop_monitor.ts";
--- a/src/clocks/start_loop_watch.ts
+++ b/src/clocks/start_event_loop_monitor.ts
@@ -10,8 +10,8 @@
   readonly delayMs: number;
 }
 
-/** Options of {@link startLoopWatch}. */
-export interface StartLoopWatchOptions {
+/** Options of {@link startEventLoopMonitor}. */
+export interface StartEventLoopMonitorOptions {
   /** Called after each delay that reaches the threshold. */
   readonly onDelay: (delay: EventLoopDelay) => void;
   /** Monotonic time, in ms. */
@@ -33,7 +33,9 @@
  * @example
  * using monitor = startEventLoopMonitor({ onDelay, now: () => performance.now() });
  */
-export function startLoopWatch(options: StartLoopWatchOptions): Disposable {
+export function startEventLoopMonitor(
+  options: StartEventLoopMonitorOptions,
+): Disposable {
   const { onDelay, now } = options;
   let dueMs = now() + CHECK_INTERVAL_MS;
 
--- a/src/clocks/start_loop_watch_test.ts
+++ b/src/clocks/start_event_loop_monitor_test.ts
@@ -1,11 +1,14 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { type EventLoopDelay, startLoopWatch } from "./start_loop_watch.ts";
+import {
+  type EventLoopDelay,
+  startEventLoopMonitor,
+} from "./start_event_loop_monitor.ts";
 
 test("a blocked event loop is reported with the length of the delay", async () => {
   let nowMs = 0;
   const delay = await new Promise<EventLoopDelay>((resolve) => {
-    const monitor = startLoopWatch({
+    const monitor = startEventLoopMonitor({
       onDelay(reported) {
         monitor[Symbol.dispose]();
         resolve(reported);
--- a/src/collections/forget_oldest.ts
+++ b/src/collections/evict_oldest.ts
@@ -21,7 +21,7 @@
  * @example
  * evictOldest(traces, MAX_TRACES);
  */
-export function forgetOldest<Key>(
+export function evictOldest<Key>(
   collection: OrderedKeys<Key>,
   maxSize: number,
 ): void {
--- a/src/collections/index.ts
+++ b/src/collections/index.ts
@@ -5,4 +5,4 @@
  */
 
 export * from "./find_map_changes.ts";
-export * from "./forget_oldest.ts";
+export * from "./evict_oldest.ts";
--- a/src/control/create_replica.ts
+++ b/src/control/create_replica.ts
@@ -120,7 +120,7 @@
     log: stored.log,
     timing: options.timing,
     nowMs: now(),
-    quietSinceMs: options.processStartedMs,
+    processStartedMs: options.processStartedMs,
     random: random(),
   });
   let appliedIndex = state.commitIndex;
--- a/src/control/create_replica_host.ts
+++ b/src/control/create_replica_host.ts
@@ -36,21 +36,21 @@
   /** Called with the sender of each received message and its address. */
   readonly onSender?: (id: ReplicaId, address: string) => void;
   /** Called once each time this replica becomes leader. */
-  readonly onLead: () => void;
+  readonly onLeadershipGained: () => void;
   /** Called once each time this replica loses leadership. */
-  readonly onLeadLost: () => void;
+  readonly onLeadershipLost: () => void;
   readonly onFatal: (error: unknown) => void;
   readonly tls?: TlsFilesSettings;
   /**
    * Monotonic time, in ms, since which this replica has certainly received
    * nothing from a leader.
    */
-  readonly quietSinceMs?: number;
+  readonly processStartedMs?: number;
   /**
    * Time at which a suspension of the machine was last detected, in ms on the
    * same clock; by default, never.
    */
-  readonly getWokeMs?: () => number;
+  readonly getLastWakeMs?: () => number;
   readonly log: Logger;
   readonly metrics: Metrics;
   /** Monotonic time, in ms. */
@@ -105,8 +105,8 @@
     log,
     metrics,
     now,
-    processStartedMs: options.quietSinceMs,
-    getLastWakeMs: options.getWokeMs,
+    processStartedMs: options.processStartedMs,
+    getLastWakeMs: options.getLastWakeMs,
     random: Math.random,
   });
 
@@ -117,8 +117,8 @@
     loggedRole = current;
     const wasLeading = isLeading;
     isLeading = role === "leader";
-    if (isLeading && !wasLeading) options.onLead();
-    if (!isLeading && wasLeading) options.onLeadLost();
+    if (isLeading && !wasLeading) options.onLeadershipGained();
+    if (!isLeading && wasLeading) options.onLeadershipLost();
   }
 
   return { replica, transport };
--- a/src/control/find_operator.ts
+++ b/src/control/find_operator.ts
@@ -5,7 +5,7 @@
  */
 
 import type { FastifyRequest } from "fastify";
-import { hashSecret, isSameSecret, parseBearer } from "../http/index.ts";
+import { hashSecret, isSameHash, parseBearer } from "../http/index.ts";
 import { listResources, type ResourceState } from "../resources/index.ts";
 
 /** An operator who was authenticated by a token. */
@@ -40,11 +40,11 @@
   const hash = hashSecret(token);
   const operators = listResources(options.getResources(), "operator");
   const match = operators.find(({ spec }) =>
-    isSameSecret(hash, spec.tokenSha256)
+    isSameHash(hash, spec.tokenSha256)
   );
   if (match) return { name: match.name, role: match.spec.role };
   const { bootstrapTokenSha256 = "" } = options;
   const isBootstrap = operators.length === 0 &&
-    isSameSecret(hash, bootstrapTokenSha256);
+    isSameHash(hash, bootstrapTokenSha256);
   return isBootstrap ? { name: "bootstrap", role: "admin" } : undefined;
 }
--- a/src/control/inspect_data_folder.ts
+++ b/src/control/inspect_data_folder.ts
@@ -12,7 +12,7 @@
   IDENTITY_FILE,
   lockDataFolder,
   readIdentity,
-  readStored,
+  readStoredState,
 } from "../storage/index.ts";
 import { createStateMachine } from "./state_machine.ts";
 
@@ -38,7 +38,7 @@
   await access(join(folder, IDENTITY_FILE));
   await using _lock = await lockDataFolder(folder);
   const identity = await readIdentity({ folder, fleetId, vm });
-  const { state } = await readStored(folder);
+  const { state } = await readStoredState(folder);
   const { hard, snapshot, log, tornBytes } = state;
   const machine = createStateMachine({ claimWindowMs });
   machine.restore(snapshot?.data ?? "");
--- a/src/engines/apply_heartbeat.ts
+++ b/src/engines/apply_heartbeat.ts
@@ -6,18 +6,18 @@
 
 import {
   getUpstreamName,
-  isOfEarlierRun,
-  noteRun,
+  isEarlierIncarnation,
+  recordIncarnation,
 } from "./newest_incarnations.ts";
 import type {
-  EngineBeat,
+  EngineHeartbeat,
   EngineRecord,
   LeaveKind,
   RegisteredEngine,
   RegistryState,
 } from "./types.ts";
 
-/** Options of {@link takeBeat}. */
+/** Options of {@link applyHeartbeat}. */
 export interface ApplyHeartbeatOptions {
   /** Monotonic time, in ms. */
   readonly nowMs: number;
@@ -58,16 +58,16 @@
  * @example
  * const { state, changed } = applyHeartbeat(registry, heartbeat, { nowMs });
  */
-export function takeBeat(
+export function applyHeartbeat(
   state: RegistryState,
-  heartbeat: EngineBeat,
+  heartbeat: EngineHeartbeat,
   options: ApplyHeartbeatOptions,
 ): AppliedHeartbeat {
   const { nowMs, leave } = options;
   const known = state.engines.get(heartbeat.engineId);
   const unchanged = { state, changed: undefined, displacedIds: [] };
   if (leave === "gone") return unchanged;
-  if (isOfEarlierRun(heartbeat, state.newestRuns)) return unchanged;
+  if (isEarlierIncarnation(heartbeat, state.newestRuns)) return unchanged;
   if (known && heartbeat.sequence <= known.sequence) return unchanged;
   const earlier = listEarlierIncarnations(state, heartbeat);
   const holder = known ? undefined : findHolder(state, heartbeat);
@@ -82,7 +82,7 @@
     isLeaving: heartbeat.isLeaving || leave !== undefined,
     ...(slowness === undefined ? {} : { slowness }),
   };
-  const next: RegisteredEngine = { record, sequence, heardMs: nowMs };
+  const next: RegisteredEngine = { record, sequence, lastHeartbeatMs: nowMs };
   const engines = new Map(state.engines).set(heartbeat.engineId, next);
   const claims = new Map(state.claims);
   claims.delete(heartbeat.engineId);
@@ -93,7 +93,11 @@
   for (const id of displacedIds) engines.delete(id);
   const same = known !== undefined && isSameRecord(known.record, record);
   return {
-    state: { engines, claims, newestRuns: noteRun(state.newestRuns, record) },
+    state: {
+      engines,
+      claims,
+      newestRuns: recordIncarnation(state.newestRuns, record),
+    },
     changed: same ? undefined : record,
     displacedIds,
   };
@@ -102,7 +106,7 @@
 // A lookup instead of a search: each of 600 engines sends a heartbeat every 1.2 s.
 function listEarlierIncarnations(
   { engines, newestRuns }: RegistryState,
-  heartbeat: EngineBeat,
+  heartbeat: EngineHeartbeat,
 ): string[] {
   const newest = newestRuns?.get(getUpstreamName(heartbeat));
   const isEarlier = newest !== undefined &&
@@ -112,7 +116,7 @@
 
 function findHolder(
   state: RegistryState,
-  { address }: EngineBeat,
+  { address }: EngineHeartbeat,
 ): RegisteredEngine | undefined {
   return [...state.engines.values()]
     .find(({ record }) => record.address === address);
@@ -123,26 +127,26 @@
 // second heartbeat, and none of the present holder in between.
 function winsAddress(
   state: RegistryState,
-  { engineId, sequence }: EngineBeat,
+  { engineId, sequence }: EngineHeartbeat,
   { holder, nowMs }: { holder: RegisteredEngine; nowMs: number },
 ): boolean {
   if (sequence === FIRST_SEQUENCE) return true;
   const claim = state.claims?.get(engineId);
   return claim !== undefined && sequence > claim.sequence &&
-    nowMs - claim.heardMs >= MIN_HEARTBEAT_GAP_MS &&
-    holder.heardMs < claim.heardMs;
+    nowMs - claim.receivedMs >= MIN_HEARTBEAT_GAP_MS &&
+    holder.lastHeartbeatMs < claim.receivedMs;
 }
 
 function recordClaim(
   state: RegistryState,
-  { engineId, sequence }: EngineBeat,
+  { engineId, sequence }: EngineHeartbeat,
   nowMs: number,
 ): RegistryState {
   const known = state.claims?.get(engineId);
   if (known && sequence <= known.sequence) return state;
   const fresh = [...state.claims ?? []]
-    .filter(([, claim]) => nowMs - claim.heardMs < CLAIM_LIFETIME_MS);
-  const claims = new Map(fresh).set(engineId, { sequence, heardMs: nowMs });
+    .filter(([, claim]) => nowMs - claim.receivedMs < CLAIM_LIFETIME_MS);
+  const claims = new Map(fresh).set(engineId, { sequence, receivedMs: nowMs });
   return { ...state, claims };
 }
 
--- a/src/engines/create_heartbeat_clock.ts
+++ b/src/engines/create_heartbeat_clock.ts
@@ -14,17 +14,17 @@
   /** Ms for which heartbeats arrived; never decreases. */
   now(): number;
   /** Records a heartbeat of any upstream. */
-  noteBeat(): void;
+  recordHeartbeat(): void;
 }
 
-/** Options of {@link createBeatClock}. */
+/** Options of {@link createHeartbeatClock}. */
 export interface CreateHeartbeatClockOptions {
   /** Ms for which heartbeats could be received. */
   readonly now: () => number;
   /** Ms without any heartbeat after which the clock pauses. */
-  readonly quietMs: number;
+  readonly pauseAfterMs: number;
   /** Ms of pause after which it goes on anyway: all upstreams may have failed. */
-  readonly maxStandMs: number;
+  readonly maxPauseMs: number;
 }
 
 /**
@@ -36,10 +36,10 @@
  * @example
  * const clock = createHeartbeatClock({ now, pauseAfterMs: 750, maxPauseMs: 3_900 });
  */
-export function createBeatClock(
+export function createHeartbeatClock(
   options: CreateHeartbeatClockOptions,
 ): HeartbeatClock {
-  const { now, quietMs: thresholdMs, maxStandMs: limitMs } = options;
+  const { now, pauseAfterMs: thresholdMs, maxPauseMs: limitMs } = options;
   let lastHeartbeatMs = now();
   // Total duration of the pauses that had ended by the newest heartbeat.
   let totalPauseMs = 0;
@@ -53,7 +53,7 @@
 
   return {
     now: () => now() - totalPauseMs - getPauseMs(),
-    noteBeat() {
+    recordHeartbeat() {
       totalPauseMs += getPauseMs();
       lastHeartbeatMs = now();
     },
--- a/src/engines/create_heartbeat_clock_test.ts
+++ b/src/engines/create_heartbeat_clock_test.ts
@@ -1,13 +1,13 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { createBeatClock } from "./create_heartbeat_clock.ts";
+import { createHeartbeatClock } from "./create_heartbeat_clock.ts";
 
 function startClock() {
   let nowMs = 0;
-  const clock = createBeatClock({
+  const clock = createHeartbeatClock({
     now: () => nowMs,
-    quietMs: 100,
-    maxStandMs: 1_000,
+    pauseAfterMs: 100,
+    maxPauseMs: 1_000,
   });
   return { clock, advance: (ms: number) => void (nowMs += ms) };
 }
@@ -16,7 +16,7 @@
   const { clock, advance } = startClock();
   for (let count = 0; count < 10; count++) {
     advance(90);
-    clock.noteBeat();
+    clock.recordHeartbeat();
   }
   assert.is(clock.now(), 900);
 });
@@ -25,7 +25,7 @@
   const { clock, advance } = startClock();
   advance(600);
   assert.is(clock.now(), 100);
-  clock.noteBeat();
+  clock.recordHeartbeat();
   assert.is(clock.now(), 100);
   advance(50);
   assert.is(clock.now(), 150);
--- a/src/engines/newest_incarnations.ts
+++ b/src/engines/newest_incarnations.ts
@@ -5,8 +5,8 @@
  * @module
  */
 
-import { forgetOldest } from "../collections/index.ts";
-import type { EngineRecord, NewestRuns } from "./types.ts";
+import { evictOldest } from "../collections/index.ts";
+import type { EngineRecord, NewestIncarnations } from "./types.ts";
 
 /** The fields of an incarnation that identify and order it. */
 type Incarnation = Pick<EngineRecord, "engineId" | "name" | "startedMs">;
@@ -40,9 +40,9 @@
  * @example
  * if (isEarlierIncarnation(heartbeat, state.newestRuns)) return;
  */
-export function isOfEarlierRun(
+export function isEarlierIncarnation(
   incarnation: Incarnation,
-  newestRuns: NewestRuns = new Map(),
+  newestRuns: NewestIncarnations = new Map(),
 ): boolean {
   const { startedMs } = incarnation;
   if (startedMs === undefined) return newestRuns.size > 0;
@@ -60,10 +60,10 @@
  * @example
  * const next = recordIncarnation(newestRuns, record);
  */
-export function noteRun(
-  newestRuns: NewestRuns = new Map(),
+export function recordIncarnation(
+  newestRuns: NewestIncarnations = new Map(),
   incarnation: Incarnation,
-): NewestRuns {
+): NewestIncarnations {
   const { engineId, startedMs } = incarnation;
   if (startedMs === undefined) return newestRuns;
   const name = getUpstreamName(incarnation);
@@ -72,6 +72,6 @@
   const next = new Map(newestRuns);
   next.delete(name);
   next.set(name, { engineId, startedMs });
-  forgetOldest(next, MAX_UPSTREAMS);
+  evictOldest(next, MAX_UPSTREAMS);
   return next;
 }
--- a/src/engines/remove_unresponsive.ts
+++ b/src/engines/remove_unresponsive.ts
@@ -6,12 +6,12 @@
 
 import type { RegistryState } from "./types.ts";
 
-/** Options of {@link removeSilent}. */
+/** Options of {@link removeUnresponsive}. */
 export interface RemoveUnresponsiveOptions {
   /** Monotonic time, in ms. */
   readonly nowMs: number;
   /** Ms without a heartbeat after which an upstream counts as failed. */
-  readonly silenceMs: number;
+  readonly heartbeatTimeoutMs: number;
 }
 
 /**
@@ -27,13 +27,13 @@
  *   heartbeatTimeoutMs: 3_000,
  * });
  */
-export function removeSilent(
+export function removeUnresponsive(
   state: RegistryState,
   options: RemoveUnresponsiveOptions,
 ): { readonly state: RegistryState; readonly lost: readonly string[] } {
-  const { nowMs, silenceMs: timeoutMs } = options;
+  const { nowMs, heartbeatTimeoutMs: timeoutMs } = options;
   const lost = [...state.engines]
-    .filter(([, engine]) => nowMs - engine.heardMs > timeoutMs)
+    .filter(([, engine]) => nowMs - engine.lastHeartbeatMs > timeoutMs)
     .map(([id]) => id);
   if (lost.length === 0) return { state, lost };
   return { state: removeEngines(state, lost), lost };
--- a/src/engines/types.ts
+++ b/src/engines/types.ts
@@ -11,7 +11,7 @@
 }
 
 /** A decoded heartbeat of an upstream. */
-export interface EngineBeat {
+export interface EngineHeartbeat {
   /** Identifies this incarnation of the upstream; each restart gets a new one. */
   readonly engineId: string;
   /** Identifies the upstream across restarts; absent if its id does. */
@@ -39,7 +39,7 @@
 }
 
 /** An upstream as the leader publishes it to gateways. */
-export interface EngineRecord extends Omit<EngineBeat, "sequence"> {
+export interface EngineRecord extends Omit<EngineHeartbeat, "sequence"> {
   /** Factor by which it is slower than usual; absent if it is not slow. */
   readonly slowness?: number;
 }
@@ -52,14 +52,14 @@
   readonly record: EngineRecord;
   readonly sequence: number;
   /** Leader's time, in ms, of the newest heartbeat. */
-  readonly heardMs: number;
+  readonly lastHeartbeatMs: number;
 }
 
 /** A heartbeat from an address that is registered to another upstream. */
 export interface AddressClaim {
   readonly sequence: number;
   /** Leader's time, in ms, when it was received. */
-  readonly heardMs: number;
+  readonly receivedMs: number;
 }
 
 /** The leader's registry, as an immutable value. */
@@ -68,18 +68,18 @@
   /** Claims to addresses that are in use, by the claiming upstream. */
   readonly claims?: ReadonlyMap<string, AddressClaim>;
   /** Newest incarnations by the upstream's name, including departed ones. */
-  readonly newestRuns?: NewestRuns;
+  readonly newestRuns?: NewestIncarnations;
 }
 
 /** The newest incarnation of an upstream. */
-export interface NewestRun {
+export interface NewestIncarnation {
   readonly engineId: string;
   /** Start time, in Unix ms of its own clock. */
   readonly startedMs: number;
 }
 
 /** The newest incarnations by the upstream's name. */
-export type NewestRuns = ReadonlyMap<string, NewestRun>;
+export type NewestIncarnations = ReadonlyMap<string, NewestIncarnation>;
 
 /** What an upstream reports about itself with a response of any kind. */
 export interface EngineNotice {
--- a/src/entry/create_admission.ts
+++ b/src/entry/create_admission.ts
@@ -12,9 +12,9 @@
   decideAdmission,
   DEFAULT_RETRY_AFTER_MS,
   type FairQueue,
-  findFairQueuePlace,
+  findFairQueuePosition,
   removeFromFairQueue,
-  RUN_MARGIN,
+  RUN_TIME_MARGIN,
   takeFromFairQueue,
   takeToken,
   type TokenBucket,
@@ -186,13 +186,13 @@
     poolDemand.count(service.spec.pool);
     const { maxInFlight = DEFAULT_MAX_IN_FLIGHT, maxQueued } = service.spec;
     const queueItem = createQueueItem(request, state);
-    const { ahead, last } = findFairQueuePlace(state.queue, queueItem);
+    const { ahead, last } = findFairQueuePosition(state.queue, queueItem);
     const decision = decideAdmission({
       inFlight: state.inFlight,
       maxInFlight,
       queued: state.waiting.size,
       queuedAhead: ahead,
-      hasLater: last !== undefined,
+      canDisplace: last !== undefined,
       maxQueued: maxQueued ?? DEFAULT_MAX_QUEUED,
       accountInFlight: accountState.inFlight,
       accountMaxInFlight: getAccountMaxInFlight(account),
@@ -328,7 +328,7 @@
     weight: account.spec.weight ?? 1,
     priority,
     // A request that starts later than this would miss its deadline.
-    deadlineMs: deadlineMs - RUN_MARGIN * state.averageRunMs,
+    deadlineMs: deadlineMs - RUN_TIME_MARGIN * state.averageRunMs,
   };
 }
 
--- a/src/entry/create_agent.ts
+++ b/src/entry/create_agent.ts
@@ -16,7 +16,7 @@
   Outcome,
   ResourceChange,
 } from "../model/index.ts";
-import { takeLiveChange } from "../membership/index.ts";
+import { applyLiveChange } from "../membership/index.ts";
 import { createListeningClock } from "../clocks/index.ts";
 import { getRetryWaitMs } from "../retry/index.ts";
 import type { EntrySettings } from "../settings/index.ts";
@@ -155,7 +155,7 @@
   let nextCall = 1;
   const listeningClock = createListeningClock({
     now,
-    lookIntervalMs: settings.heartbeatIntervalMs,
+    tickIntervalMs: settings.heartbeatIntervalMs,
   });
   let closed = false;
   let callerAddress = "";
@@ -237,7 +237,7 @@
 
   function getRetryDelayMs(): number {
     return getRetryWaitMs(failures, {
-      firstMs: FIRST_RETRY_DELAY_MS,
+      baseMs: FIRST_RETRY_DELAY_MS,
       maxMs: MAX_RETRY_DELAY_MS,
       random: options.random,
     });
@@ -277,7 +277,7 @@
   let clusterId = config.getClusterId();
 
   function applyConfig(update: wire.ConfigUpdate): void {
-    const result = config.take({
+    const result = config.applyUpdate({
       clusterId,
       revision: update.revision,
       full: update.full,
@@ -304,7 +304,7 @@
     if (!newer) return;
     liveVersion = { term, version };
     const change = JSON.parse(update.live) as LiveChange;
-    live = takeLiveChange(live, change);
+    live = applyLiveChange(live, change);
   }
 
   function handleClaimResult(result: wire.ClaimResult): void {
@@ -336,7 +336,7 @@
   }
 
   function tick(): void {
-    listeningClock.look();
+    listeningClock.tick();
     const silentMs = listeningClock.now() - (session?.lastReceivedMs ?? 0);
     if (session && silentMs > settings.controlSilenceMs) {
       closeSession(session, { reason: "silent" });
--- a/src/entry/create_config_replica.ts
+++ b/src/entry/create_config_replica.ts
@@ -6,12 +6,12 @@
 
 import type { ResourceChange } from "../model/index.ts";
 import {
+  applyAcceptedChanges,
   createResourceState,
   getResourceStateData,
   parseResourceStateData,
   type ResourceState,
   type ResourceStateData,
-  takeChanges,
 } from "../resources/index.ts";
 
 /** A configuration update from control: a whole state or changes to it. */
@@ -30,7 +30,7 @@
 export interface ConfigReplica {
   getState(): ResourceState;
   getClusterId(): string;
-  take(update: ConfigUpdate): ConfigUpdateResult;
+  applyUpdate(update: ConfigUpdate): ConfigUpdateResult;
 }
 
 /** The replica as stored on disk. */
@@ -80,7 +80,7 @@
     const first = changes[0]?.revision ?? update.revision;
     if (!update.full && first !== state.revision + 1) return "gap";
     const base = update.full ? createResourceState() : state;
-    const next = takeChanges(base, changes);
+    const next = applyAcceptedChanges(base, changes);
     clusterId = update.clusterId;
     // Entries serve neither watches nor retried changes, so they need no history.
     state = { ...next, revision: update.revision, history: [] };
@@ -91,7 +91,7 @@
   return {
     getState: () => state,
     getClusterId: () => clusterId,
-    take: applyUpdate,
+    applyUpdate,
   };
 }
 
--- a/src/entry/create_request_log.ts
+++ b/src/entry/create_request_log.ts
@@ -4,7 +4,7 @@
  * @module
  */
 
-import { forgetOldest } from "../collections/index.ts";
+import { evictOldest } from "../collections/index.ts";
 import type { Outcome } from "../model/index.ts";
 import type { TraceStep } from "./request_context.ts";
 
@@ -58,7 +58,7 @@
         outcome: "running" as RequestTrace["outcome"],
       };
       traces.set(request.requestId, trace);
-      forgetOldest(traces, MAX_TRACES);
+      evictOldest(traces, MAX_TRACES);
       return {
         addStep(what) {
           if (trace.steps.length >= MAX_TRACE_STEPS) return;
--- a/src/entry/create_stream_store.ts
+++ b/src/entry/create_stream_store.ts
@@ -7,7 +7,7 @@
  * @module
  */
 
-import { forgetOldest } from "../collections/index.ts";
+import { evictOldest } from "../collections/index.ts";
 
 /** An event of a stream; ids count from 1. */
 export interface StreamEvent {
@@ -138,7 +138,7 @@
       read,
     };
     streams.set(requestId, stream);
-    forgetOldest(streams, MAX_STREAMS);
+    evictOldest(streams, MAX_STREAMS);
     return stream;
   }
 
--- a/src/entry/create_upstream_table.ts
+++ b/src/entry/create_upstream_table.ts
@@ -14,9 +14,9 @@
 import {
   type CapacityIntervals,
   computeIntervalShares,
-  type Health,
-  SOUND,
+  HEALTHY,
   updateHealth,
+  type UpstreamHealth,
   type UpstreamView,
 } from "../routing/index.ts";
 
@@ -24,7 +24,7 @@
 interface UpstreamRecord extends UpstreamView {
   spec: UpstreamSpec;
   pool: string;
-  health: Health;
+  health: UpstreamHealth;
   speedPerS: number;
   roundTripMs: number;
   inFlight: number;
@@ -175,7 +175,7 @@
       name: spec.name,
       spec,
       pool,
-      health: SOUND,
+      health: HEALTHY,
       speedPerS: DEFAULT_SPEED_PER_S,
       roundTripMs: SAME_PLACE_ROUND_TRIP_MS,
       inFlight: 0,
--- a/src/entry/run_model_request.ts
+++ b/src/entry/run_model_request.ts
@@ -23,10 +23,10 @@
   stepPipeline,
 } from "../pipeline/index.ts";
 import { classifyFailure, type DispatchFailure } from "../retry/index.ts";
-import { chooseChain, findBackOffLeftMs } from "../routing/index.ts";
+import { chooseChain, findRemainingBackOffMs } from "../routing/index.ts";
 import {
   callStage,
-  getFailure,
+  getDispatchFailure,
   releaseStage,
   type UpstreamClient,
 } from "../upstreams/index.ts";
@@ -138,7 +138,7 @@
     const nowMs = now();
     const canSend = (atMs: number) =>
       chooseChain(views, layerCount, { nowMs: atMs, random: 0 }) !== undefined;
-    return findBackOffLeftMs(views, { nowMs, canSend }) ?? 0;
+    return findRemainingBackOffMs(views, { nowMs, canSend }) ?? 0;
   }
 
   async function runTrackedEpoch(
@@ -221,7 +221,7 @@
         }));
         emit(effects, call);
       } catch (error) {
-        const failure = getFailure(error);
+        const failure = getDispatchFailure(error);
         if (!failure) throw error;
         sent ||= classifyFailure(failure).outcome !== "not_run";
         return { state, sent, failure, failedAt: order.stage.upstream };
--- a/src/entry/run_plain_request.ts
+++ b/src/entry/run_plain_request.ts
@@ -26,11 +26,11 @@
   type RetryBudget,
   spendRetry,
 } from "../retry/index.ts";
-import { chooseUpstream, findBackOffLeftMs } from "../routing/index.ts";
+import { chooseUpstream, findRemainingBackOffMs } from "../routing/index.ts";
 import {
   DispatchError,
-  getFailure,
-  saidNotRun,
+  getDispatchFailure,
+  reportsNotRun,
   type UpstreamAnswer,
   type UpstreamClient,
 } from "../upstreams/index.ts";
@@ -145,7 +145,7 @@
     const nowMs = now();
     const canSend = (atMs: number) =>
       chooseUpstream(views, { nowMs: atMs, random: 0 }) !== undefined;
-    return findBackOffLeftMs(views, { nowMs, canSend }) ?? 0;
+    return findRemainingBackOffMs(views, { nowMs, canSend }) ?? 0;
   }
 
   async function sendOnce(
@@ -164,7 +164,7 @@
         timeoutMs: Math.max(1, context.deadlineMs - now()),
         signal: context.signal,
       });
-      const notRun = saidNotRun(answer);
+      const notRun = reportsNotRun(answer);
       const limitPerS = readRateLimit(answer.headers[HEADERS.rateLimit]);
       if (limitPerS !== undefined) {
         const limit = notRun ? { limitPerS } : { limitPerS, sentMs };
@@ -178,7 +178,7 @@
       const backOffMs = readBackOffMs(answer);
       return classifyAnswer(read, { notRun, backOffMs });
     } catch (error) {
-      const failure = getFailure(error);
+      const failure = getDispatchFailure(error);
       if (!failure) throw error;
       if (isUpstreamFault(context, failure)) recordResult(name, false);
       return { verdict: classifyFailure(failure) };
@@ -210,7 +210,7 @@
       phase: "answering",
       fault: "upstream_said",
       status,
-      saidNotRun: notRun,
+      reportedNotRun: notRun,
     });
     return { verdict, answer };
   }
--- a/src/fleet/create_activity_tally.ts
+++ b/src/fleet/create_activity_tally.ts
@@ -11,7 +11,7 @@
 /** Sums of the stream activity of all gateways. */
 export interface ActivityTally {
   /** Adds what a gateway's streams did since its last report. */
-  take(vm: string, activity: GatewayActivity): void;
+  add(vm: string, activity: GatewayActivity): void;
   /** Removes a gateway's waiting streams. */
   forget(vm: string): void;
   /** Gets the fleet's rates over the last window, by service. */
@@ -51,7 +51,7 @@
   }
 
   return {
-    take(vm, activity) {
+    add(vm, activity) {
       const reported = Object.entries(activity);
       for (const [service, { asked, ended }] of reported) {
         if (asked + ended === 0) continue;
--- a/src/fleet/create_config_history.ts
+++ b/src/fleet/create_config_history.ts
@@ -4,9 +4,9 @@
  * @module
  */
 
-import { forgetOldest } from "../collections/index.ts";
+import { evictOldest } from "../collections/index.ts";
 import type { RouteConfig } from "../routes/index.ts";
-import type { AcceptedConfig } from "./create_fleet_machine.ts";
+import type { AcceptedConfig } from "./create_fleet_state_machine.ts";
 import type { DecodeConfig } from "./messages.ts";
 import { unpackDocument } from "./pack_document.ts";
 
@@ -18,7 +18,7 @@
 /** The most recently accepted configurations. */
 export interface ConfigHistory {
   /** Adds an accepted configuration. */
-  note(accepted: AcceptedConfig): void;
+  add(accepted: AcceptedConfig): void;
   /** Gets a version; undefined if it was never added or has been evicted. */
   get(version: number): AcceptedConfig | undefined;
   /**
@@ -55,14 +55,14 @@
   function cacheDecoded(packed: string, config: RouteConfig): RouteConfig {
     decoded.delete(packed);
     decoded.set(packed, config);
-    forgetOldest(decoded, MAX_DECODED);
+    evictOldest(decoded, MAX_DECODED);
     return config;
   }
 
   return {
-    note({ version, packed }) {
+    add({ version, packed }) {
       versions.set(version, { version, packed });
-      forgetOldest(versions, MAX_VERSIONS);
+      evictOldest(versions, MAX_VERSIONS);
     },
     get: (version) => versions.get(version),
     read: (packed) =>
--- a/src/fleet/create_config_messages.ts
+++ b/src/fleet/create_config_messages.ts
@@ -9,7 +9,7 @@
 import { diffConfigs } from "../routes/index.ts";
 import type { wire } from "../wire/index.ts";
 import type { ConfigHistory } from "./create_config_history.ts";
-import type { AcceptedConfig } from "./create_fleet_machine.ts";
+import type { AcceptedConfig } from "./create_fleet_state_machine.ts";
 import { getConfigDigest } from "./get_config_digest.ts";
 import type { LeaderMessage } from "./messages.ts";
 
--- a/src/fleet/create_config_messages_test.ts
+++ b/src/fleet/create_config_messages_test.ts
@@ -34,7 +34,7 @@
   const receive = (version: number, fromVersion: number) =>
     parseLeaderMessage(get(version, fromVersion), createEngineNumbers());
   const note = (...versions: number[]) =>
-    versions.forEach((version) => history.note(makeConfig(version)));
+    versions.forEach((version) => history.add(makeConfig(version)));
   return { messages, get, receive, note, counts };
 }
 
--- a/src/fleet/create_engine_numbers.ts
+++ b/src/fleet/create_engine_numbers.ts
@@ -15,7 +15,7 @@
   /** Stores a number that the other side assigned. */
   learn(engineId: string, number: number): void;
   /** Filters out the loads of engines without a number. */
-  keepNumbered(loads: EngineLoads): EngineLoads;
+  filterNumbered(loads: EngineLoads): EngineLoads;
   /** Encodes loads as columns; engines without a number are left out. */
   formatLoads(loads: EngineLoads): wire.EngineLoads;
   /** Decodes such columns; unknown numbers are left out. */
@@ -51,7 +51,7 @@
     },
     learn,
     // The leader doesn't know engines without a number and couldn't publish their loads.
-    keepNumbered: (loads) =>
+    filterNumbered: (loads) =>
       Object.fromEntries(
         Object.entries(loads).filter(([engineId]) => numbers.has(engineId)),
       ),
--- a/src/fleet/create_engine_recorder.ts
+++ b/src/fleet/create_engine_recorder.ts
@@ -8,12 +8,12 @@
 import { findMapChanges } from "../collections/index.ts";
 import { type EngineRecord, isSameRecord } from "../engines/index.ts";
 import type { Logger } from "../logs/index.ts";
-import type { FleetCommand } from "./create_fleet_machine.ts";
+import type { FleetCommand } from "./create_fleet_state_machine.ts";
 import { createRecorder, type Recorder } from "./create_recorder.ts";
 
 /** Dependencies of {@link createEngineRecorder}. */
 export interface CreateEngineRecorderOptions {
-  readonly getHeard: () => readonly EngineRecord[];
+  readonly getKnown: () => readonly EngineRecord[];
   readonly getRecorded: () => ReadonlyMap<string, EngineRecord>;
   /** Resolves once the command is committed and applied. */
   readonly propose: (command: FleetCommand) => Promise<unknown>;
@@ -32,9 +32,9 @@
 export function createEngineRecorder(
   options: CreateEngineRecorderOptions,
 ): Recorder {
-  const { getHeard, getRecorded, propose, log } = options;
+  const { getKnown: getKnown, getRecorded, propose, log } = options;
   return createRecorder({
-    findNews: () => findEngineChanges(getHeard(), getRecorded()),
+    findChange: () => findEngineChanges(getKnown(), getRecorded()),
     propose,
     onFailed: (error) => log("enginesNotRecorded", { error }),
   });
--- a/src/fleet/create_engine_registry.ts
+++ b/src/fleet/create_engine_registry.ts
@@ -6,18 +6,18 @@
  */
 
 import {
-  createBeatClock,
-  type EngineBeat,
+  applyHeartbeat,
+  createHeartbeatClock,
+  type EngineHeartbeat,
   type EngineRecord,
   getUpstreamName,
-  isOfEarlierRun,
+  isEarlierIncarnation,
   type LeaveKind,
-  type NewestRuns,
-  noteRun,
+  type NewestIncarnations,
+  recordIncarnation,
   type RegistryState,
   removeEngines,
-  removeSilent,
-  takeBeat,
+  removeUnresponsive,
 } from "../engines/index.ts";
 import type { Logger } from "../logs/index.ts";
 
@@ -61,20 +61,20 @@
    */
   addRecorded(
     records: Iterable<EngineRecord>,
-    options?: { readonly newestRuns?: NewestRuns },
+    options?: { readonly newestRuns?: NewestIncarnations },
   ): void;
-  take(beat: EngineBeat): void;
+  handleHeartbeat(beat: EngineHeartbeat): void;
   /** Whether an incarnation of an upstream is registered. */
   hasRun(engineId: string): boolean;
   /** The newest incarnation of an upstream, including a departed one. */
-  findRunId(name: string): string | undefined;
+  findIncarnationId(name: string): string | undefined;
   /** Applies a leave that is committed in the log. */
-  takeLeave(engineId: string, kind: LeaveKind): void;
+  applyLeave(engineId: string, kind: LeaveKind): void;
   /** Removes upstreams that timed out; suspicions of gateways shorten the time-out. */
   tick(): void;
-  takeSuspects(vm: string, engineIds: readonly string[]): void;
+  addSuspicions(vm: string, engineIds: readonly string[]): void;
   /** Sets the slowness that an upstream reports, as a factor; 1 is the usual pace. */
-  takePace(engineId: string, pace: number): void;
+  setPace(engineId: string, pace: number): void;
   getRecords(): EngineRecord[];
   /** Whether heartbeats have arrived long enough since {@link reset} to know all. */
   knowsAll(): boolean;
@@ -114,10 +114,10 @@
   options: CreateEngineRegistryOptions,
 ): EngineRegistry {
   const { now, log, silenceMs, isService = () => true } = options;
-  const beatClock = createBeatClock({
+  const beatClock = createHeartbeatClock({
     now,
-    quietMs: options.quietMs ?? Infinity,
-    maxStandMs: MAX_PAUSE_TIMEOUTS * silenceMs,
+    pauseAfterMs: options.quietMs ?? Infinity,
+    maxPauseMs: MAX_PAUSE_TIMEOUTS * silenceMs,
   });
   let state: RegistryState = { engines: new Map() };
   let listeningSinceMs = beatClock.now();
@@ -161,7 +161,7 @@
 
   function removeEarlierIncarnations(): void {
     const earlier = [...state.engines.values()]
-      .filter(({ record }) => isOfEarlierRun(record, state.newestRuns));
+      .filter(({ record }) => isEarlierIncarnation(record, state.newestRuns));
     remove(
       earlier.map(({ record }) => record.engineId),
       "of an earlier incarnation",
@@ -176,16 +176,19 @@
     return known?.record.engineId;
   }
 
-  function handleHeartbeat(beat: EngineBeat): void {
+  function handleHeartbeat(beat: EngineHeartbeat): void {
     const { engineId, service } = beat;
-    beatClock.noteBeat();
+    beatClock.recordHeartbeat();
     const isNew = !state.engines.has(engineId);
     // It could take over the address of an upstream that really serves there.
     if (isNew && !isService(service)) {
       return log("serviceUnknown", { engineId, service });
     }
     const leave = options.getLeave(engineId);
-    const taken = takeBeat(state, beat, { nowMs: beatClock.now(), leave });
+    const taken = applyHeartbeat(state, beat, {
+      nowMs: beatClock.now(),
+      leave,
+    });
     state = taken.state;
     remove(taken.displacedIds, "replaced by another incarnation");
     if (!taken.changed) return;
@@ -235,12 +238,15 @@
 
   function tick(): void {
     const nowMs = beatClock.now();
-    const silent = removeSilent(state, { nowMs, silenceMs });
+    const silent = removeUnresponsive(state, {
+      nowMs,
+      heartbeatTimeoutMs: silenceMs,
+    });
     remove(silent.lost, "silent");
     const suspectedTimeoutMs = silenceMs * SUSPECTED_TIMEOUT_SHARE;
-    const { lost } = removeSilent(state, {
+    const { lost } = removeUnresponsive(state, {
       nowMs,
-      silenceMs: suspectedTimeoutMs,
+      heartbeatTimeoutMs: suspectedTimeoutMs,
     });
     remove(lost.filter(isSuspected), "suspected");
   }
@@ -254,13 +260,13 @@
       changed = new Map();
       gone = new Set();
       serving = new Set();
-      beatClock.noteBeat();
+      beatClock.recordHeartbeat();
       listeningSinceMs = beatClock.now();
     },
     addRecorded(records, { newestRuns: recorded = new Map() } = {}) {
       const heardMs = beatClock.now();
       const newestRuns = [...recorded].reduce(
-        (runs, [name, run]) => noteRun(runs, { name, ...run }),
+        (runs, [name, run]) => recordIncarnation(runs, { name, ...run }),
         state.newestRuns ?? new Map(),
       );
       state = { ...state, newestRuns };
@@ -268,18 +274,22 @@
       const engines = new Map(state.engines);
       for (const record of records) {
         if (engines.has(record.engineId)) continue;
-        if (isOfEarlierRun(record, newestRuns)) continue;
-        engines.set(record.engineId, { record, heardMs, sequence: -1 });
+        if (isEarlierIncarnation(record, newestRuns)) continue;
+        engines.set(record.engineId, {
+          record,
+          lastHeartbeatMs: heardMs,
+          sequence: -1,
+        });
         queueChange(record);
       }
       state = { ...state, engines };
     },
-    take: handleHeartbeat,
+    handleHeartbeat,
     hasRun: (engineId) => state.engines.has(engineId),
-    findRunId: findIncarnationId,
-    takeLeave: applyLeave,
+    findIncarnationId,
+    applyLeave,
     tick,
-    takePace(engineId, pace) {
+    setPace(engineId, pace) {
       const engine = state.engines.get(engineId);
       if (!engine) return;
       const { slowness: known, ...rest } = engine.record;
@@ -292,7 +302,7 @@
       log("engineChanged", { engineId, slowness: slowness ?? 1 });
       queueChange(record);
     },
-    takeSuspects: addSuspicions,
+    addSuspicions,
     knowsAll: () => beatClock.now() - listeningSinceMs >= silenceMs,
     getRecords: () => [...state.engines.values()].map(({ record }) => record),
   };
--- a/src/fleet/create_engine_registry_test.ts
+++ b/src/fleet/create_engine_registry_test.ts
@@ -1,13 +1,13 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { until } from "../../demo/until.ts";
-import { makeBeat } from "../../test/support/make_beat.ts";
+import { makeHeartbeat } from "../../test/support/make_beat.ts";
 import {
   createEngineRegistry,
   type EngineChange,
 } from "./create_engine_registry.ts";
 
-const HEARTBEAT = makeBeat();
+const HEARTBEAT = makeHeartbeat();
 
 function makeRegistry(
   getLeave = () => undefined,
@@ -36,7 +36,7 @@
   registry.addRecorded([recorded, { ...recorded, engineId: "e2" }]);
   assert.equal(getIds(registry), ["e1", "e2"]);
   clock.nowMs = 1_000;
-  registry.take(HEARTBEAT);
+  registry.handleHeartbeat(HEARTBEAT);
   clock.nowMs = 3_500;
   registry.tick();
   assert.equal(getIds(registry), ["e1"]);
@@ -51,7 +51,7 @@
   clock.nowMs = 8_000;
   registry.tick();
   assert.equal(getIds(registry), ["e1", "e2"]);
-  registry.take(HEARTBEAT);
+  registry.handleHeartbeat(HEARTBEAT);
   clock.nowMs = 9_100;
   registry.tick();
   assert.equal(
@@ -59,7 +59,7 @@
     ["e1", "e2"],
     "the silent one has not timed out since heartbeats resumed",
   );
-  registry.take({ ...HEARTBEAT, sequence: HEARTBEAT.sequence + 1 });
+  registry.handleHeartbeat({ ...HEARTBEAT, sequence: HEARTBEAT.sequence + 1 });
   clock.nowMs = 9_300;
   registry.tick();
   assert.equal(getIds(registry), ["e1"]);
@@ -67,7 +67,7 @@
 
 test("upstreams that all stay silent are removed in the end", () => {
   const { registry, clock } = makeRegistry(undefined, { quietMs: 1_800 });
-  registry.take(HEARTBEAT);
+  registry.handleHeartbeat(HEARTBEAT);
   clock.nowMs = 11_900;
   registry.tick();
   assert.equal(getIds(registry), ["e1"]);
@@ -79,30 +79,35 @@
 test("a record doesn't overwrite a heartbeat that arrived before it", () => {
   const { registry } = makeRegistry();
   const { sequence: _sequence, ...recorded } = HEARTBEAT;
-  registry.take({ ...HEARTBEAT, isLeaving: true });
+  registry.handleHeartbeat({ ...HEARTBEAT, isLeaving: true });
   registry.addRecorded([recorded]);
   assert.ok(registry.getRecords()[0].isLeaving);
 });
 
 test("an upstream that two gateways suspect times out sooner", () => {
   const { registry, clock } = makeRegistry();
-  registry.take(HEARTBEAT);
+  registry.handleHeartbeat(HEARTBEAT);
   clock.nowMs = 1_500;
-  registry.takeSuspects("g1", ["e1"]);
+  registry.addSuspicions("g1", ["e1"]);
   registry.tick();
   assert.equal(getIds(registry), ["e1"]);
-  registry.takeSuspects("g2", ["e1"]);
+  registry.addSuspicions("g2", ["e1"]);
   registry.tick();
   assert.equal(getIds(registry), []);
 });
 
 test("an upstream that leaves still serves, unless it had drained before", async () => {
   const { registry, published } = makeRegistry();
-  registry.take(HEARTBEAT);
+  registry.handleHeartbeat(HEARTBEAT);
   const address = "10.0.0.2:80";
-  registry.take({ ...HEARTBEAT, engineId: "e2", address, isLeaving: true });
-  registry.takeLeave("e1", "gone");
-  registry.takeLeave("e2", "gone");
+  registry.handleHeartbeat({
+    ...HEARTBEAT,
+    engineId: "e2",
+    address,
+    isLeaving: true,
+  });
+  registry.applyLeave("e1", "gone");
+  registry.applyLeave("e2", "gone");
   await until("the change is published", () => published.length > 0);
   const [{ gone, serving }] = published;
   assert.equal(gone, ["e1", "e2"]);
@@ -111,10 +116,10 @@
 
 test("an upstream that sends heartbeats is kept although it is suspected", () => {
   const { registry, clock } = makeRegistry();
-  registry.take(HEARTBEAT);
+  registry.handleHeartbeat(HEARTBEAT);
   clock.nowMs = 1_000;
-  registry.takeSuspects("g1", ["e1"]);
-  registry.takeSuspects("g2", ["e1"]);
+  registry.addSuspicions("g1", ["e1"]);
+  registry.addSuspicions("g2", ["e1"]);
   registry.tick();
   assert.equal(getIds(registry), ["e1"]);
 });
--- a/src/fleet/create_loss_reports.ts
+++ b/src/fleet/create_failure_report_collector.ts
@@ -6,7 +6,7 @@
  */
 
 /** A gateway's report. */
-export interface LossReport {
+export interface FailureReport {
   readonly vm: string;
   readonly place: string;
   /** Engines that did not answer its probes while its streams over them were stalled. */
@@ -14,9 +14,9 @@
 }
 
 /** Collects failure reports. */
-export interface LossReports {
+export interface FailureReportCollector {
   /** Adds a report; returns the failed engines to publish in that data centre now. */
-  take(report: LossReport): readonly string[];
+  add(report: FailureReport): readonly string[];
 }
 
 /**
@@ -37,9 +37,9 @@
  * @example
  * const failed = collector.add({ vm, place, engineIds });
  */
-export function createLossReports(
+export function createFailureReportCollector(
   options: { readonly now: () => number },
-): LossReports {
+): FailureReportCollector {
   const { now } = options;
   const reporters = new Map<string, Map<string, number>>();
   const notifiedMs = new Map<string, number>();
@@ -59,7 +59,7 @@
 
   function confirmFailure(
     engineId: string,
-    { vm, place }: LossReport,
+    { vm, place }: FailureReport,
   ): boolean {
     const key = `${place} ${engineId}`;
     const byVm = reporters.get(key) ?? new Map<string, number>();
@@ -71,7 +71,7 @@
   }
 
   return {
-    take(report) {
+    add(report) {
       removeExpired();
       return report.engineIds.filter((engineId) =>
         confirmFailure(engineId, report)
--- a/src/fleet/create_loss_reports_test.ts
+++ b/src/fleet/create_failure_report_collector_test.ts
@@ -1,12 +1,12 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { createLossReports } from "./create_loss_reports.ts";
+import { createFailureReportCollector } from "./create_failure_report_collector.ts";
 
 function startCollector() {
   const clock = { nowMs: 0 };
-  const collector = createLossReports({ now: () => clock.nowMs });
+  const collector = createFailureReportCollector({ now: () => clock.nowMs });
   const report = (vm: string, place: string, engineIds: readonly string[]) =>
-    collector.take({ vm, place, engineIds });
+    collector.add({ vm, place, engineIds });
   return { clock, report };
 }
 
--- a/src/fleet/create_fleet_machine.ts
+++ b/src/fleet/create_fleet_state_machine.ts
@@ -6,19 +6,19 @@
  * @module
  */
 
-import { forgetOldest } from "../collections/index.ts";
+import { evictOldest } from "../collections/index.ts";
 import {
   type EngineRecord,
   type LeaveKind,
-  type NewestRun,
-  type NewestRuns,
-  noteRun,
+  type NewestIncarnation,
+  type NewestIncarnations,
+  recordIncarnation,
 } from "../engines/index.ts";
 import {
   type CrashCase,
   type CrashCases,
   type JudgedReport,
-  takeCrashes,
+  recordCrashes,
 } from "../quarantine/index.ts";
 import type { GatewayRecord } from "./messages.ts";
 
@@ -71,8 +71,8 @@
 }
 
 /** The replicated state machine of one control process. */
-export interface FleetMachine {
-  getAccepted(): AcceptedConfig | undefined;
+export interface FleetStateMachine {
+  getAcceptedConfig(): AcceptedConfig | undefined;
   getLeave(engineId: string): LeaveKind | undefined;
   /**
    * Upstreams that the latest leader recorded. A new leader starts from them, so that
@@ -84,14 +84,14 @@
   /** Requests that are suspected of crashing upstreams. */
   getCases(): CrashCases;
   /** Newest incarnation of each upstream, including departed ones. */
-  getNewestRuns(): NewestRuns;
+  getNewestIncarnations(): NewestIncarnations;
   apply(body: string): void;
   save(): string;
   restore(data: string): void;
 }
 
-/** Options of {@link createFleetMachine}. */
-export interface CreateFleetMachineOptions {
+/** Options of {@link createFleetStateMachine}. */
+export interface CreateFleetStateMachineOptions {
   /** Called once for each command that changed the state. */
   readonly onChange?: (command: FleetCommand) => void;
   /** Number of leaves to remember; the oldest are evicted first. */
@@ -99,7 +99,7 @@
 }
 
 /**
- * Default of {@link CreateFleetMachineOptions.maxLeaves}: far more than leave within an
+ * Default of {@link CreateFleetStateMachineOptions.maxLeaves}: far more than leave within an
  * hour. Old leaves may be evicted, as the id of an incarnation is never reused.
  */
 const MAX_REMEMBERED_LEAVES = 5_000;
@@ -109,7 +109,7 @@
   readonly leaves: readonly (readonly [string, LeaveKind])[];
   readonly engines: readonly EngineRecord[];
   /** These three are absent in snapshots of earlier versions. */
-  readonly newestRuns?: readonly (readonly [string, NewestRun])[];
+  readonly newestRuns?: readonly (readonly [string, NewestIncarnation])[];
   readonly cases?: readonly CrashCase[];
   readonly gateways?: readonly GatewayRecord[];
 }
@@ -123,14 +123,14 @@
  * @example
  * const machine = createFleetStateMachine({ onChange });
  */
-export function createFleetMachine(
-  options: CreateFleetMachineOptions = {},
-): FleetMachine {
+export function createFleetStateMachine(
+  options: CreateFleetStateMachineOptions = {},
+): FleetStateMachine {
   const { onChange = () => {}, maxLeaves = MAX_REMEMBERED_LEAVES } = options;
   let accepted: AcceptedConfig | undefined;
   let leaves = new Map<string, LeaveKind>();
   let engines = new Map<string, EngineRecord>();
-  let newestRuns: NewestRuns = new Map();
+  let newestRuns: NewestIncarnations = new Map();
   let cases: CrashCases = new Map();
   let gateways = new Map<string, GatewayRecord>();
 
@@ -148,14 +148,14 @@
     const known = leaves.get(engineId);
     if (known === kind || known === "gone") return false;
     leaves.set(engineId, kind);
-    forgetOldest(leaves, maxLeaves);
+    evictOldest(leaves, maxLeaves);
     return true;
   }
 
   function applyEngines(command: FleetCommand & { type: "engines" }): boolean {
     for (const engineId of command.lost) engines.delete(engineId);
     for (const record of command.changed) engines.set(record.engineId, record);
-    newestRuns = command.changed.reduce(noteRun, newestRuns);
+    newestRuns = command.changed.reduce(recordIncarnation, newestRuns);
     return true;
   }
 
@@ -189,19 +189,19 @@
       case "gateways":
         return applyGateways(command);
       case "crashes":
-        return replaceCases(takeCrashes(cases, command.reports));
+        return replaceCases(recordCrashes(cases, command.reports));
       case "casesCleared":
         return clearCases(command.requestKeys);
     }
   }
 
   return {
-    getAccepted: () => accepted,
+    getAcceptedConfig: () => accepted,
     getLeave: (engineId) => leaves.get(engineId),
     getEngines: () => engines,
     getGateways: () => gateways,
     getCases: () => cases,
-    getNewestRuns: () => newestRuns,
+    getNewestIncarnations: () => newestRuns,
     apply(body) {
       const command = JSON.parse(body) as FleetCommand;
       if (applyCommand(command)) onChange(command);
--- a/src/fleet/create_gateway_recorder.ts
+++ b/src/fleet/create_gateway_recorder.ts
@@ -8,7 +8,7 @@
 
 import { findMapChanges } from "../collections/index.ts";
 import type { Logger } from "../logs/index.ts";
-import type { FleetCommand } from "./create_fleet_machine.ts";
+import type { FleetCommand } from "./create_fleet_state_machine.ts";
 import { createRecorder, type Recorder } from "./create_recorder.ts";
 import { isSameGateway } from "./is_same_gateway.ts";
 import type { GatewayRecord } from "./messages.ts";
@@ -16,7 +16,7 @@
 /** Dependencies of {@link createGatewayRecorder}. */
 export interface CreateGatewayRecorderOptions {
   /** The list published last, by VM; undefined before the first one. */
-  readonly getTold: () => ReadonlyMap<string, GatewayRecord> | undefined;
+  readonly getPublished: () => ReadonlyMap<string, GatewayRecord> | undefined;
   readonly getRecorded: () => ReadonlyMap<string, GatewayRecord>;
   /** Resolves once the command is committed and applied. */
   readonly propose: (command: FleetCommand) => Promise<unknown>;
@@ -36,9 +36,9 @@
 export function createGatewayRecorder(
   options: CreateGatewayRecorderOptions,
 ): Recorder {
-  const { getTold, getRecorded, propose, log } = options;
+  const { getPublished: getPublished, getRecorded, propose, log } = options;
   return createRecorder({
-    findNews: () => findGatewayChanges(getTold(), getRecorded()),
+    findChange: () => findGatewayChanges(getPublished(), getRecorded()),
     propose,
     onFailed: (error) => log("gatewaysNotRecorded", { error }),
   });
--- a/src/fleet/create_gateway_sessions.ts
+++ b/src/fleet/create_gateway_sessions.ts
@@ -18,14 +18,14 @@
 import { createActivityTally } from "./create_activity_tally.ts";
 import { createAwaitedGateways } from "./create_awaited_gateways.ts";
 import { createHelloQueue } from "./create_hello_queue.ts";
-import { createLossReports } from "./create_loss_reports.ts";
-import { createRolloutWatch } from "./create_rollout_watch.ts";
+import { createFailureReportCollector } from "./create_failure_report_collector.ts";
+import { createRolloutTracker } from "./create_rollout_tracker.ts";
 import type { EngineChange } from "./create_engine_registry.ts";
-import type { LimitDesk } from "./create_limit_desk.ts";
-import type { QuarantineDesk } from "./create_quarantine_desk.ts";
-import { createWrittenNews } from "./create_written_news.ts";
+import type { LimitCoordinator } from "./create_limit_coordinator.ts";
+import type { QuarantineCoordinator } from "./create_quarantine_coordinator.ts";
+import { createSessionCodec } from "./create_session_codec.ts";
 import type { ConfigHistory } from "./create_config_history.ts";
-import type { AcceptedConfig } from "./create_fleet_machine.ts";
+import type { AcceptedConfig } from "./create_fleet_state_machine.ts";
 import { isSameGateway } from "./is_same_gateway.ts";
 import type {
   EngineLoads,
@@ -52,7 +52,7 @@
   /** Address of a leader that was in contact recently; empty if there is none. */
   readonly getLeaderAddress: () => string;
   readonly getControlAddresses: () => readonly string[];
-  readonly getAccepted: () => AcceptedConfig | undefined;
+  readonly getAcceptedConfig: () => AcceptedConfig | undefined;
   /** Earlier configurations that gateways may still hold. */
   readonly history: Pick<ConfigHistory, "get" | "read">;
   readonly getEngines: () => readonly EngineRecord[];
@@ -61,17 +61,20 @@
   /** Whether gateways have had enough time to connect to this leader. */
   readonly knowsAllGateways: () => boolean;
   /** Grants retries of a service from the fleet's budget; returns how many. */
-  readonly lendRepeats: (service: string, wanted: number) => number;
+  readonly grantRetries: (service: string, wanted: number) => number;
   readonly quarantine: Pick<
-    QuarantineDesk,
+    QuarantineCoordinator,
     "take" | "grantTrial" | "list"
   >;
-  readonly limits: Pick<LimitDesk, "take" | "grant" | "list">;
-  readonly onSuspects: (vm: string, engineIds: readonly string[]) => void;
+  readonly limits: Pick<LimitCoordinator, "take" | "grant" | "list">;
+  readonly onSuspectedEngines: (
+    vm: string,
+    engineIds: readonly string[],
+  ) => void;
   /** Called when a gateway reports upstreams that announced that they are leaving. */
-  readonly onLeaving: (engineIds: readonly string[]) => void;
+  readonly onLeavingEngines: (engineIds: readonly string[]) => void;
   /** Called when a gateway reports engines with slow streams, or unresponsive ones. */
-  readonly onSlow: (engineIds: readonly string[]) => void;
+  readonly onSlowEngines: (engineIds: readonly string[]) => void;
   /** Monotonic time, in ms. */
   readonly now: () => number;
   /**
@@ -92,9 +95,9 @@
   /** Publishes a version that was just accepted. */
   publishConfig(version: number): void;
   /** Starts to wait for the gateways that earlier leaders recorded. */
-  expectGateways(recorded: Iterable<GatewayRecord>): void;
+  awaitGateways(recorded: Iterable<GatewayRecord>): void;
   /** The list of gateways published last; undefined before the first one. */
-  getToldGateways(): ReadonlyMap<string, GatewayRecord> | undefined;
+  getPublishedGateways(): ReadonlyMap<string, GatewayRecord> | undefined;
   publishEngines(change: EngineChange): void;
   /** Publishes the full list of engines, which replaces what gateways hold. */
   publishAllEngines(): void;
@@ -153,10 +156,10 @@
   // Loads and activity published last, as JSON; empty before the first time.
   let publishedLoads = "";
   let batchTimer: ReturnType<typeof setTimeout> | undefined;
-  const codec = createWrittenNews(options);
+  const codec = createSessionCodec(options);
   const tally = createActivityTally({ now });
-  const lossReports = createLossReports({ now });
-  const rollout = createRolloutWatch(options);
+  const lossReports = createFailureReportCollector({ now });
+  const rollout = createRolloutTracker(options);
   const helloQueue = createHelloQueue(options);
   const awaitedGateways = createAwaitedGateways({ now: listeningNow, log });
 
@@ -186,7 +189,7 @@
   }
 
   function sendConfig(session: Session): void {
-    const accepted = options.getAccepted();
+    const accepted = options.getAcceptedConfig();
     if (!accepted) return;
     if (accepted.version <= session.sentVersion) return;
     write(session, codec.formatConfig(accepted, session.sentVersion));
@@ -194,7 +197,7 @@
   }
 
   function sendConfigToAll(): void {
-    const accepted = options.getAccepted();
+    const accepted = options.getAcceptedConfig();
     if (!accepted) return;
     const startedMs = now();
     const waitedMs = Math.round(rollout.getAgeMs());
@@ -235,7 +238,7 @@
     session.lastSeenMs = listeningNow();
     sessions.set(gateway.vm, session);
     awaitedGateways.noteReturned(gateway.vm);
-    rollout.noteHeld(gateway.vm, version);
+    rollout.onApplied(gateway.vm, version);
     const controlAddresses = options.getControlAddresses();
     // Suspected requests have to arrive before the engines, as the gateway sends
     // requests from then on. They are part of the welcome because the cost of joins
@@ -268,20 +271,20 @@
     if (!gateway || sessions.get(gateway.vm) !== session) return;
     session.lastSeenMs = listeningNow();
     if (beat.loads) session.loads = beat.loads;
-    if (beat.version !== undefined) rollout.noteHeld(gateway.vm, beat.version);
-    tally.take(gateway.vm, beat.activity ?? {});
+    if (beat.version !== undefined) rollout.onApplied(gateway.vm, beat.version);
+    tally.add(gateway.vm, beat.activity ?? {});
     if (beat.suspects.length > 0) {
-      options.onSuspects(gateway.vm, beat.suspects);
-      options.onSlow(beat.suspects);
+      options.onSuspectedEngines(gateway.vm, beat.suspects);
+      options.onSlowEngines(beat.suspects);
     }
     if (beat.lost) reportLostEngines(gateway, beat.lost);
-    if (beat.leaving) options.onLeaving(beat.leaving);
+    if (beat.leaving) options.onLeavingEngines(beat.leaving);
     beat.limits?.forEach(options.limits.take);
     options.quarantine.take(gateway.vm, beat);
     if (gateway.isReady !== beat.isReady) {
       session.gateway = { ...gateway, isReady: beat.isReady };
     }
-    if (beat.slowEngines) options.onSlow(beat.slowEngines);
+    if (beat.slowEngines) options.onSlowEngines(beat.slowEngines);
     if (!options.hasLease()) return;
     acknowledge(session, beat.sentMs);
     grantRetries(session, beat);
@@ -292,7 +295,7 @@
     { vm, place }: GatewayRecord,
     found: readonly string[],
   ): void {
-    const engineIds = lossReports.take({ vm, place, engineIds: found });
+    const engineIds = lossReports.add({ vm, place, engineIds: found });
     if (engineIds.length === 0) return;
     for (const session of sessions.values()) {
       if (session.gateway?.place !== place) continue;
@@ -307,7 +310,7 @@
     { repeatsWanted = {}, sentMs }: GatewayMessage & { type: "beat" },
   ): void {
     for (const [service, wanted] of Object.entries(repeatsWanted)) {
-      const count = options.lendRepeats(service, wanted);
+      const count = options.grantRetries(service, wanted);
       if (count === 0) continue;
       send(session, { type: "repeatsLent", service, count, askedMs: sentMs });
     }
@@ -348,7 +351,7 @@
   }
 
   function acknowledge(session: Session, sentMs: number): void {
-    const version = options.getAccepted()?.version ?? -1;
+    const version = options.getAcceptedConfig()?.version ?? -1;
     send(session, { type: "beatAck", sentMs, version });
   }
 
@@ -383,7 +386,7 @@
     if (!gateway || sessions.get(gateway.vm) !== session) return;
     sessions.delete(gateway.vm);
     tally.forget(gateway.vm);
-    rollout.forget(gateway.vm);
+    rollout.removeGateway(gateway.vm);
     log("gatewayLost", { vm: gateway.vm });
   }
 
@@ -424,26 +427,26 @@
   return {
     handleSession,
     publishConfig(version) {
-      rollout.noteAccepted(version);
+      rollout.onAccepted(version);
       batchTimer ??= setTimeout(() => {
         batchTimer = undefined;
         sendConfigToAll();
       }, CONFIG_BATCH_MS);
     },
-    expectGateways(recorded) {
+    awaitGateways(recorded) {
       const present = new Set(sessions.keys());
       awaitedGateways.beginWait(
         [...recorded].filter(({ vm }) => !present.has(vm)),
       );
     },
-    getToldGateways: () => publishedGateways,
+    getPublishedGateways: () => publishedGateways,
     publishEngines(change) {
-      codec.forgetEngines();
+      codec.invalidateEngines();
       broadcast({ type: "engines", isWhole: false, ...change });
     },
     publish: broadcast,
     publishAllEngines() {
-      codec.forgetEngines();
+      codec.invalidateEngines();
       writeToAll(codec.formatEngines());
     },
     tick() {
@@ -474,11 +477,11 @@
       for (const { stream } of sessions.values()) redirect(stream, address);
       for (const vm of sessions.keys()) {
         tally.forget(vm);
-        rollout.forget(vm);
+        rollout.removeGateway(vm);
       }
       sessions.clear();
       // If it leads again later, the cached list of engines would be outdated.
-      codec.forgetEngines();
+      codec.invalidateEngines();
       publishedGateways = undefined;
       publishedLoads = "";
       awaitedGateways.reset();
--- a/src/fleet/create_gateway_sessions_test.ts
+++ b/src/fleet/create_gateway_sessions_test.ts
@@ -73,21 +73,21 @@
     confirmRead: () => Promise.resolve(),
     getLeaderAddress: () => "",
     getControlAddresses: () => [],
-    getAccepted: () => undefined,
+    getAcceptedConfig: () => undefined,
     history,
     getEngines: () => engines,
     knowsAllEngines: () => true,
     knowsAllGateways: () => true,
-    lendRepeats: () => 0,
+    grantRetries: () => 0,
     quarantine: {
       take: () => {},
       grantTrial: () => undefined,
       list: () => [],
     },
     limits: { take: () => {}, grant: () => [], list: () => [] },
-    onSuspects: () => {},
-    onSlow: () => {},
-    onLeaving: () => {},
+    onSuspectedEngines: () => {},
+    onSlowEngines: () => {},
+    onLeavingEngines: () => {},
     now: () => 0,
     log: () => {},
     metrics: createMetrics(),
@@ -192,13 +192,13 @@
   const first = await join(sessions, "g1", -1, { knowsGateways: false });
   sessions.tick();
   assert.equal(first.takeUpdates(), []);
-  assert.is(sessions.getToldGateways(), undefined);
+  assert.is(sessions.getPublishedGateways(), undefined);
 });
 
 test("a gateway that starts under a new leader receives the recorded gateways", async () => {
   const sessions = makeSessions(ENGINES, { knowsAllGateways: () => false });
   const recorded = ["g1", "g2"].map((vm) => makeGateway(vm));
-  sessions.expectGateways(recorded);
+  sessions.awaitGateways(recorded);
   const returned = await join(sessions, "g1", -1, { knowsGateways: true });
   const started = await join(sessions, "g3", -1, { knowsGateways: false });
   assert.equal(returned.takeUpdates(), []);
@@ -279,9 +279,9 @@
   const metrics = createMetrics();
   const history = createConfigHistory({ decodeConfig });
   let accepted = makeAccepted(3, { routes: 245 });
-  history.note(accepted);
+  history.add(accepted);
   const sessions = makeSessions(ENGINES, {
-    getAccepted: () => accepted,
+    getAcceptedConfig: () => accepted,
     history,
     metrics,
   });
@@ -290,7 +290,7 @@
     streams.push(await join(sessions, `g${at}`, accepted.version));
   }
   accepted = makeAccepted(5, { routes: 1_645 });
-  history.note(accepted);
+  history.add(accepted);
   sessions.publishConfig(accepted.version);
   await until(
     "all gateways have received version 5",
--- a/src/fleet/create_layer_keeper.ts
+++ b/src/fleet/create_layer_controller.ts
@@ -31,7 +31,7 @@
 ) => Promise<OrderAnswer>;
 
 /** Dependencies of {@link createLayerController}. */
-export interface CreateLayerKeeperOptions {
+export interface CreateLayerControllerOptions {
   readonly getServices: () => readonly Service[];
   readonly getEngines: () => readonly EngineRecord[];
   readonly sendOrder: SendLayerOrder;
@@ -47,7 +47,7 @@
 }
 
 /** Reconciles the layers of all models with the engines that are present. */
-export interface LayerKeeper {
+export interface LayerController {
   /** Forgets pending orders: a new leader relies on what engines report. */
   reset(): void;
   /** Plans all models once and sends the orders that are due. */
@@ -123,9 +123,9 @@
  * @example
  * const controller = createLayerController(options);
  */
-export function createLayerKeeper(
-  options: CreateLayerKeeperOptions,
-): LayerKeeper {
+export function createLayerController(
+  options: CreateLayerControllerOptions,
+): LayerController {
   const { now, log } = options;
   let pendingOrders = new Map<string, PendingOrder>();
   let gapSinceMs = new Map<string, number>();
@@ -220,7 +220,10 @@
       gaps.set(key, sinceMs);
       return now() - sinceMs >= getRedistributeDelayMs(place, cover);
     };
-    const orders = planLayerOrders(engines, { figures: model, mayRespread });
+    const orders = planLayerOrders(engines, {
+      profile: model,
+      mayRedistribute: mayRespread,
+    });
     gapSinceMs = gaps;
     const retried = listUnanswered(members);
     await Promise.all(
--- a/src/fleet/create_layer_keeper_test.ts
+++ b/src/fleet/create_layer_controller_test.ts
@@ -3,7 +3,10 @@
 import { makeLayeredModel } from "../../test/support/make_layered_model.ts";
 import type { EngineRecord, LayerRange } from "../engines/index.ts";
 import type { Service } from "../routes/index.ts";
-import { createLayerKeeper, type OrderAnswer } from "./create_layer_keeper.ts";
+import {
+  createLayerController,
+  type OrderAnswer,
+} from "./create_layer_controller.ts";
 
 const SERVICE: Service = {
   name: "model",
@@ -32,7 +35,7 @@
   const sent: string[] = [];
   const left = new Set<string>();
   const ended = new Set<string>();
-  const controller = createLayerKeeper({
+  const controller = createLayerController({
     getServices: () => [SERVICE],
     getEngines: () => engines,
     sendOrder: ({ engineId }, { fromLayer, toLayer }) => {
--- a/src/fleet/create_leader_call_handler.ts
+++ b/src/fleet/create_leader_call_handler.ts
@@ -5,24 +5,27 @@
  */
 
 import {
-  type EngineBeat,
+  type EngineHeartbeat,
   getUpstreamName,
   type LeaveKind,
 } from "../engines/index.ts";
 import type { Logger } from "../logs/index.ts";
 import { findConfigProblems } from "../routes/index.ts";
 import type { EngineRegistry } from "./create_engine_registry.ts";
-import type { FleetCommand, FleetMachine } from "./create_fleet_machine.ts";
-import type { QuarantineDesk } from "./create_quarantine_desk.ts";
+import type {
+  FleetCommand,
+  FleetStateMachine,
+} from "./create_fleet_state_machine.ts";
+import type { QuarantineCoordinator } from "./create_quarantine_coordinator.ts";
 import type { ConfigHistory } from "./create_config_history.ts";
 import type { FleetCall, FleetReply } from "./messages.ts";
 import { unpackDocument } from "./pack_document.ts";
 
 /** Dependencies of {@link createLeaderCallHandler}. */
 export interface CreateLeaderCallHandlerOptions {
-  readonly machine: FleetMachine;
+  readonly machine: FleetStateMachine;
   readonly registry: EngineRegistry;
-  readonly quarantine: Pick<QuarantineDesk, "list" | "lift">;
+  readonly quarantine: Pick<QuarantineCoordinator, "list" | "lift">;
   /** Resolves once the command is committed and applied. */
   readonly propose: (command: FleetCommand) => Promise<unknown>;
   readonly confirmRead: () => Promise<void>;
@@ -73,7 +76,7 @@
       return { type: "invalid", problems };
     }
     const { version } = config;
-    const acceptedVersion = machine.getAccepted()?.version ?? -1;
+    const acceptedVersion = machine.getAcceptedConfig()?.version ?? -1;
     if (version <= acceptedVersion) return DONE;
     if (!options.hasEnoughVoters()) {
       return { type: "unavailable", reason: "too few voters" };
@@ -84,14 +87,16 @@
 
   async function handleReadConfig(): Promise<FleetReply> {
     await options.confirmRead();
-    const accepted = machine.getAccepted();
+    const accepted = machine.getAcceptedConfig();
     const document = accepted ? unpackDocument(accepted.packed) : null;
     return { type: "document", document };
   }
 
   // A leader whose disk is stalled does not notice that another one has been elected,
   // and heartbeats that it accepted would be missing there.
-  async function handleHeartbeat(heartbeat: EngineBeat): Promise<FleetReply> {
+  async function handleHeartbeat(
+    heartbeat: EngineHeartbeat,
+  ): Promise<FleetReply> {
     if (!options.hasLease()) return { type: "unavailable", reason: "no lease" };
     const { engineId } = heartbeat;
     const leave = machine.getLeave(engineId);
@@ -102,14 +107,14 @@
     else if (heartbeat.isLeaving && leave === undefined) {
       await proposeLeave(engineId, "draining");
     }
-    registry.take(heartbeat);
+    registry.handleHeartbeat(heartbeat);
     return DONE;
   }
 
   // A leave recorded before any heartbeat, under the upstream's name, applies to the
   // first incarnation that sends one.
   async function bindLeave(
-    heartbeat: EngineBeat,
+    heartbeat: EngineHeartbeat,
     kind: LeaveKind,
   ): Promise<void> {
     const { engineId } = heartbeat;
@@ -120,7 +125,7 @@
 
   // A leave names the upstream, not the incarnation: the newest one is meant.
   async function handleLeave(name: string): Promise<FleetReply> {
-    const engineId = registry.findRunId(name) ?? name;
+    const engineId = registry.findIncarnationId(name) ?? name;
     if (machine.getLeave(engineId) !== "gone") {
       await proposeLeave(engineId, "gone");
     }
--- a/src/fleet/create_leader_call_handler_test.ts
+++ b/src/fleet/create_leader_call_handler_test.ts
@@ -1,15 +1,15 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { makeBeat } from "../../test/support/make_beat.ts";
+import { makeHeartbeat } from "../../test/support/make_beat.ts";
 import { createEngineRegistry } from "./create_engine_registry.ts";
 import {
-  createFleetMachine,
+  createFleetStateMachine,
   type FleetCommand,
-} from "./create_fleet_machine.ts";
+} from "./create_fleet_state_machine.ts";
 import { createLeaderCallHandler } from "./create_leader_call_handler.ts";
 
 function makeHandler(hasLease: () => boolean) {
-  const machine = createFleetMachine();
+  const machine = createFleetStateMachine();
   const proposed: FleetCommand[] = [];
   const registry = createEngineRegistry({
     silenceMs: 1_000,
@@ -43,7 +43,7 @@
 test("a leader without a lease rejects heartbeats", async () => {
   let hasLease = false;
   const { handler, registry } = makeHandler(() => hasLease);
-  const call = { type: "beat", beat: makeBeat() } as const;
+  const call = { type: "beat", beat: makeHeartbeat() } as const;
   assert.is((await handler.handle(call)).type, "unavailable");
   assert.equal(registry.getRecords(), []);
   hasLease = true;
@@ -53,7 +53,7 @@
 
 test("a leave reported by gateways is recorded once, for registered upstreams only", async () => {
   const { handler, registry, machine, proposed } = makeHandler(() => true);
-  const heartbeat = makeBeat();
+  const heartbeat = makeHeartbeat();
   const { engineId } = heartbeat;
   await handler.recordLeaves([engineId]);
   assert.equal(proposed, []);
--- a/src/fleet/create_leader_loop.ts
+++ b/src/fleet/create_leader_loop.ts
@@ -8,10 +8,10 @@
 import type { Logger } from "../logs/index.ts";
 import type { EngineRegistry } from "./create_engine_registry.ts";
 import type { GatewaySessions } from "./create_gateway_sessions.ts";
-import type { LayerKeeper } from "./create_layer_keeper.ts";
+import type { LayerController } from "./create_layer_controller.ts";
 import type { MembershipManager } from "./create_membership_manager.ts";
-import type { PaceMonitor } from "./create_pace_watch.ts";
-import type { QuarantineDesk } from "./create_quarantine_desk.ts";
+import type { PaceMonitor } from "./create_pace_monitor.ts";
+import type { QuarantineCoordinator } from "./create_quarantine_coordinator.ts";
 import type { Recorder } from "./create_recorder.ts";
 
 /** Dependencies of {@link createLeaderLoop}. */
@@ -19,7 +19,7 @@
   /** Whether this process leads, holds the lease and has loaded the recorded state. */
   readonly isLeading: () => boolean;
   /** Counts the time for which this leader accepts messages. */
-  readonly listening: Pick<ListeningClock, "look">;
+  readonly listening: Pick<ListeningClock, "tick">;
   /** Whether it has accepted messages for this many ms since it was elected. */
   readonly hasListenedFor: (spanMs: number) => boolean;
   /** Whether the fleet is being formed, so that no engine can hold layers yet. */
@@ -30,10 +30,10 @@
   >;
   readonly registry: Pick<EngineRegistry, "tick" | "getRecords" | "knowsAll">;
   readonly paceMonitor: Pick<PaceMonitor, "tick">;
-  readonly quarantine: Pick<QuarantineDesk, "tick">;
+  readonly quarantine: Pick<QuarantineCoordinator, "tick">;
   readonly recorders: readonly Recorder[];
   readonly members: Pick<MembershipManager, "observe" | "run">;
-  readonly layerManager: Pick<LayerKeeper, "run">;
+  readonly layerManager: Pick<LayerController, "run">;
   readonly log: Logger;
 }
 
@@ -91,7 +91,7 @@
   return {
     tick() {
       const isLeading = options.isLeading();
-      options.listening.look({ isListening: isLeading });
+      options.listening.tick({ isListening: isLeading });
       if (!isLeading) return;
       options.members.observe();
       sessions.tick();
--- a/src/fleet/create_leader_loop_test.ts
+++ b/src/fleet/create_leader_loop_test.ts
@@ -12,7 +12,7 @@
 function startLoop(
   options: {
     readonly isFirstStart: boolean;
-    readonly listening?: Pick<ListeningClock, "look">;
+    readonly listening?: Pick<ListeningClock, "tick">;
   },
 ) {
   const calls: string[] = [];
@@ -24,7 +24,7 @@
   const state = { isLeading: true, ledMs: 0 };
   const loop = createLeaderLoop({
     isLeading: () => state.isLeading,
-    listening: options.listening ?? { look: () => {} },
+    listening: options.listening ?? { tick: () => {} },
     hasListenedFor: (spanMs) => state.ledMs >= spanMs,
     isFirstStart: options.isFirstStart,
     sessions: {
@@ -85,7 +85,7 @@
   let nowMs = 0;
   const listening = createListeningClock({
     now: () => nowMs,
-    lookIntervalMs: ROUND_MS,
+    tickIntervalMs: ROUND_MS,
   });
   const { loop, state } = startLoop({ isFirstStart: false, listening });
   const runRounds = (count: number) => {
--- a/src/fleet/create_limit_desk.ts
+++ b/src/fleet/create_limit_coordinator.ts
@@ -9,32 +9,32 @@
  * @module
  */
 
-import { forgetOldest } from "../collections/index.ts";
+import { evictOldest } from "../collections/index.ts";
 import { takeToken, type TokenBucket } from "../limits/index.ts";
 import type { Logger } from "../logs/index.ts";
 import type {
   GrantCounts,
   LimitReport,
+  PublishedLimit,
   SendGrants,
-  ToldLimit,
 } from "./messages.ts";
 
 /** Tracks the rate limits in force and grants sends. */
-export interface LimitDesk {
+export interface LimitCoordinator {
   /** Handles a limit that a gateway read in an upstream's response. */
   take(report: LimitReport): void;
   /** Grants as many of the requested sends as the limits allow now. */
   grant(counts: GrantCounts): SendGrants;
   /** All limits in force. */
-  list(): readonly ToldLimit[];
+  list(): readonly PublishedLimit[];
   /** Removes all limits: gateways report the limits that they know to a new leader. */
   reset(): void;
 }
 
-/** Dependencies of {@link createLimitDesk}. */
+/** Dependencies of {@link createLimitCoordinator}. */
 export interface CreateLimitCoordinatorOptions {
   /** Called with each limit that comes into force, changes or ends. */
-  readonly publish: (limit: ToldLimit) => void;
+  readonly publish: (limit: PublishedLimit) => void;
   /**
    * Version of the first limit. No other leader may use the same version for another
    * limit of the same upstream.
@@ -57,7 +57,7 @@
 /** Limits that are kept; the oldest are evicted first. */
 const MAX_LIMITS = 5_000;
 
-interface Limit extends ToldLimit {
+interface Limit extends PublishedLimit {
   readonly limitPerS: number;
   bucket: TokenBucket;
 }
@@ -71,25 +71,25 @@
  * @example
  * const coordinator = createLimitCoordinator({ publish, firstVersion: Date.now(), now, log });
  */
-export function createLimitDesk(
+export function createLimitCoordinator(
   options: CreateLimitCoordinatorOptions,
-): LimitDesk {
+): LimitCoordinator {
   const { publish, now, log } = options;
   const limits = new Map<string, Limit>();
   let nextVersion = options.firstVersion;
 
-  function setLimit(engineId: string, limitPerS: number): ToldLimit {
+  function setLimit(engineId: string, limitPerS: number): PublishedLimit {
     const version = nextVersion++;
     // The bucket starts empty: what was sent before is unknown.
     const bucket = limits.get(engineId)?.bucket ??
       { tokens: 0, updatedMs: now() };
     limits.delete(engineId);
     limits.set(engineId, { engineId, limitPerS, version, bucket });
-    forgetOldest(limits, MAX_LIMITS);
+    evictOldest(limits, MAX_LIMITS);
     return { engineId, limitPerS, version };
   }
 
-  function removeLimit(engineId: string): ToldLimit {
+  function removeLimit(engineId: string): PublishedLimit {
     limits.delete(engineId);
     return { engineId, limitPerS: null, version: nextVersion++ };
   }
--- a/src/fleet/create_limit_desk_test.ts
+++ b/src/fleet/create_limit_coordinator_test.ts
@@ -2,13 +2,16 @@
 import * as assert from "uvu/assert";
 import { countMostInWindow } from "../../proof/count_most_in_window.ts";
 import { createRandomSource } from "../../proof/random_source.ts";
-import { createLimitDesk, PROBE_RATE_PER_S } from "./create_limit_desk.ts";
-import type { ToldLimit } from "./messages.ts";
+import {
+  createLimitCoordinator,
+  PROBE_RATE_PER_S,
+} from "./create_limit_coordinator.ts";
+import type { PublishedLimit } from "./messages.ts";
 
 function makeCoordinator() {
   const clock = { ms: 0 };
-  const published: ToldLimit[] = [];
-  const coordinator = createLimitDesk({
+  const published: PublishedLimit[] = [];
+  const coordinator = createLimitCoordinator({
     publish: (limit) => void published.push(limit),
     firstVersion: 100,
     now: () => clock.ms,
--- a/src/fleet/create_membership_manager.ts
+++ b/src/fleet/create_membership_manager.ts
@@ -71,7 +71,10 @@
     async run() {
       if (isChanging) return;
       const state = replica.getState();
-      const members = planVoterChange(state, { voters, isSilent });
+      const members = planVoterChange(state, {
+        voters,
+        isUnresponsive: isSilent,
+      });
       if (!members) return;
       isChanging = true;
       log("membersChanged", {
--- a/src/fleet/create_pace_watch_test.ts
+++ b/src/fleet/create_pace_monitor_test.ts
@@ -1,7 +1,7 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import type { EngineRecord } from "../engines/index.ts";
-import { createPaceMonitor } from "./create_pace_watch.ts";
+import { createPaceMonitor } from "./create_pace_monitor.ts";
 
 const ENGINES = 216;
 
--- a/src/fleet/create_quarantine_desk.ts
+++ b/src/fleet/create_quarantine_coordinator.ts
@@ -7,19 +7,19 @@
 
 import type { Logger } from "../logs/index.ts";
 import {
-  CONVICTION_AGE_MS,
+  CONVICTION_RETENTION_MS,
   type CrashCase,
   type CrashCases,
   type CrashReport,
   getHoldMs,
-  isExplained,
+  isCrashAttributed,
   type JudgedReport,
   MAX_TRIAL_MS,
   needsTrial,
-  SUSPICION_AGE_MS,
+  SUSPICION_RETENTION_MS,
 } from "../quarantine/index.ts";
-import type { FleetCommand } from "./create_fleet_machine.ts";
-import type { LeaderMessage, ToldCase, TrialWish } from "./messages.ts";
+import type { FleetCommand } from "./create_fleet_state_machine.ts";
+import type { LeaderMessage, PublishedCase, TrialRequest } from "./messages.ts";
 
 type CasesMessage = LeaderMessage & { type: "cases" };
 
@@ -43,13 +43,13 @@
 }
 
 /** The leader's part of the quarantine. */
-export interface QuarantineDesk {
+export interface QuarantineCoordinator {
   /** Handles a gateway's reports. */
   take(vm: string, reports: QuarantineReports): void;
   /** Grants a trial run: returns the upstream where the request may start, if any. */
-  grantTrial(vm: string, request: TrialWish): string | undefined;
+  grantTrial(vm: string, request: TrialRequest): string | undefined;
   /** All cases, for operators and for gateways that join. */
-  list(): readonly ToldCase[];
+  list(): readonly PublishedCase[];
   /** Clears the case of a request. */
   lift(requestKey: string): Promise<void>;
   /** Called on every replica after each change of the cases. */
@@ -80,7 +80,7 @@
  */
 export function createQuarantineCoordinator(
   options: CreateQuarantineCoordinatorOptions,
-): QuarantineDesk {
+): QuarantineCoordinator {
   const { getCases, propose, now, log } = options;
   const trials = new Map<string, Trial>();
   const trackedCases = new Map<
@@ -126,7 +126,7 @@
     const { requestKey, engineId } = report;
     const cases = getCases();
     if (cases.get(requestKey)?.engineIds.includes(engineId)) return;
-    if (isExplained(cases, engineId)) return;
+    if (isCrashAttributed(cases, engineId)) return;
     const [key, trial] = findTrial(engineId) ?? [];
     if (key !== undefined && key !== requestKey) return;
     const isTrial = trial?.vm === vm;
@@ -156,13 +156,13 @@
     return Math.max(0, getHoldMs(convictions) - getAgeMs(requestKey));
   }
 
-  function describe(crashCase: CrashCase): ToldCase {
+  function describe(crashCase: CrashCase): PublishedCase {
     const { requestKey, engineIds } = crashCase;
     const heldMs = Math.round(getHeldMs(crashCase));
     return { requestKey, engineIds, heldMs };
   }
 
-  function list(): ToldCase[] {
+  function list(): PublishedCase[] {
     trackChanges();
     return [...getCases().values()].map(describe);
   }
@@ -195,8 +195,8 @@
   function isOld({ requestKey, convictions }: CrashCase): boolean {
     const ageMs = getAgeMs(requestKey);
     return convictions === 0
-      ? ageMs > SUSPICION_AGE_MS
-      : ageMs > getHoldMs(convictions) + CONVICTION_AGE_MS;
+      ? ageMs > SUSPICION_RETENTION_MS
+      : ageMs > getHoldMs(convictions) + CONVICTION_RETENTION_MS;
   }
 
   return {
--- a/src/fleet/create_quarantine_desk_test.ts
+++ b/src/fleet/create_quarantine_coordinator_test.ts
@@ -1,14 +1,14 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { FIRST_HOLD_MS, SUSPICION_AGE_MS } from "../quarantine/index.ts";
-import { createFleetMachine } from "./create_fleet_machine.ts";
-import { createQuarantineCoordinator } from "./create_quarantine_desk.ts";
+import { FIRST_HOLD_MS, SUSPICION_RETENTION_MS } from "../quarantine/index.ts";
+import { createFleetStateMachine } from "./create_fleet_state_machine.ts";
+import { createQuarantineCoordinator } from "./create_quarantine_coordinator.ts";
 import type { LeaderMessage } from "./messages.ts";
 
 /** Ms after which reports have been batched and proposed. */
 const BATCH_MS = 30;
 
-function startCoordinator(machine = createFleetMachine()) {
+function startCoordinator(machine = createFleetStateMachine()) {
   const state = { nowMs: 0, isLeader: true };
   const published: (LeaderMessage & { type: "cases" })[] = [];
   const coordinator = createQuarantineCoordinator({
@@ -118,7 +118,7 @@
   await reportCrash("g1", "r", "e2");
   coordinator.grantTrial("g1", { requestKey: "r", engineIds: ["e3"] });
   await reportCrash("g1", "r", "e3");
-  const restored = createFleetMachine();
+  const restored = createFleetStateMachine();
   restored.restore(machine.save());
   const next = startCoordinator(restored);
   assert.is(next.coordinator.list()[0].heldMs, FIRST_HOLD_MS);
@@ -133,7 +133,7 @@
 test("old suspicions expire, and an operator may lift a hold", async () => {
   const { coordinator, reportCrash, state } = startCoordinator();
   await reportCrash("g1", "r", "e1");
-  state.nowMs = SUSPICION_AGE_MS + 1;
+  state.nowMs = SUSPICION_RETENTION_MS + 1;
   coordinator.tick();
   assert.equal(coordinator.list(), []);
   await reportCrash("g1", "s", "e1");
@@ -146,7 +146,7 @@
   state.isLeader = false;
   await reportCrash("g1", "r", "e1");
   assert.equal(published, []);
-  state.nowMs = SUSPICION_AGE_MS + 1;
+  state.nowMs = SUSPICION_RETENTION_MS + 1;
   state.isLeader = true;
   coordinator.tick();
   assert.equal(published.length, 0);
--- a/src/fleet/create_recorder.ts
+++ b/src/fleet/create_recorder.ts
@@ -5,12 +5,12 @@
  * @module
  */
 
-import type { FleetCommand } from "./create_fleet_machine.ts";
+import type { FleetCommand } from "./create_fleet_state_machine.ts";
 
 /** Dependencies of {@link createRecorder}. */
 export interface CreateRecorderOptions {
   /** Returns the command that records the changes; undefined if there are none. */
-  readonly findNews: () => FleetCommand | undefined;
+  readonly findChange: () => FleetCommand | undefined;
   /** Resolves once the command is committed and applied. */
   readonly propose: (command: FleetCommand) => Promise<unknown>;
   /** Called when a command could not be committed. */
@@ -38,7 +38,7 @@
   return {
     async run() {
       if (isRecording) return;
-      const command = options.findNews();
+      const command = options.findChange();
       if (!command) return;
       isRecording = true;
       await options.propose(command).catch(options.onFailed);
--- a/src/fleet/create_repeat_lender.ts
+++ b/src/fleet/create_retry_lender.ts
@@ -18,13 +18,13 @@
   readonly windowMs: number;
 }
 
-/** Options of {@link createRepeatLender}. */
+/** Options of {@link createRetryLender}. */
 export interface CreateRetryLenderOptions extends FleetRetryBudget {
   /**
    * Ms for which this process has been the leader. The loans of an earlier leader are
    * unknown, so nothing is lent before they have expired.
    */
-  readonly getLeadsForMs: () => number;
+  readonly getLeadershipMs: () => number;
   /** Monotonic time, in ms. */
   readonly now: () => number;
 }
@@ -42,13 +42,13 @@
 export const LENDABLE_SHARE = 0.2;
 
 /** Share of the retry budget that gateways have locally, without asking the leader. */
-export const OWN_EXTRA_SHARE = 0.72;
+export const LOCAL_BUDGET_SHARE = 0.72;
 
 /**
  * Ms for which a loan may be used, counted from the gateway's request: long enough for
  * the reply to arrive and streams to be retried.
  */
-export const LOAN_MS = 2_000;
+export const LOAN_LIFETIME_MS = 2_000;
 
 interface Loan {
   readonly atMs: number;
@@ -66,15 +66,15 @@
  * @example
  * const lent = lender.lend("advisor", 4);
  */
-export function createRepeatLender(
+export function createRetryLender(
   options: CreateRetryLenderOptions,
 ): RetryLender {
   const { now } = options;
-  const windowAndLoanMs = options.windowMs + LOAN_MS;
+  const windowAndLoanMs = options.windowMs + LOAN_LIFETIME_MS;
   const loans = new Map<string, Loan[]>();
   return {
     lend(service, wanted) {
-      if (options.getLeadsForMs() < windowAndLoanMs) return 0;
+      if (options.getLeadershipMs() < windowAndLoanMs) return 0;
       const sinceMs = now() - windowAndLoanMs;
       const recentLoans = (loans.get(service) ?? [])
         .filter(({ atMs }) => atMs >= sinceMs);
--- a/src/fleet/create_rollout_watch.ts
+++ b/src/fleet/create_rollout_tracker.ts
@@ -8,7 +8,7 @@
 import type { Logger } from "../logs/index.ts";
 import type { Metrics } from "../metrics/index.ts";
 
-/** Dependencies of {@link createRolloutWatch}. */
+/** Dependencies of {@link createRolloutTracker}. */
 export interface CreateRolloutTrackerOptions {
   /** Monotonic time, in ms. */
   readonly now: () => number;
@@ -19,11 +19,11 @@
 /** Tracks the rollout of the newest configuration. */
 export interface RolloutTracker {
   /** Records that a version was accepted; earlier ones are no longer tracked. */
-  noteAccepted(version: number): void;
+  onAccepted(version: number): void;
   /** Records the version in force at a gateway. */
-  noteHeld(vm: string, version: number): void;
+  onApplied(vm: string, version: number): void;
   /** Removes a gateway whose session has ended. */
-  forget(vm: string): void;
+  removeGateway(vm: string): void;
   /** Ms since the newest version was accepted. */
   getAgeMs(): number;
   /** Gateways where the newest version is not in force. */
@@ -39,7 +39,7 @@
  * @example
  * const rollout = createRolloutTracker({ now, log, metrics });
  */
-export function createRolloutWatch(
+export function createRolloutTracker(
   options: CreateRolloutTrackerOptions,
 ): RolloutTracker {
   const { now, log, metrics } = options;
@@ -67,16 +67,16 @@
   }
 
   return {
-    noteAccepted(version) {
+    onAccepted(version) {
       newest = version;
       acceptedMs = now();
       isInForce = false;
     },
-    noteHeld(vm, version) {
+    onApplied(vm, version) {
       appliedVersions.set(vm, version);
       checkInForce(vm);
     },
-    forget(vm) {
+    removeGateway(vm) {
       if (appliedVersions.delete(vm)) checkInForce(vm);
     },
     getAgeMs: () => now() - acceptedMs,
--- a/src/fleet/create_rollout_watch_test.ts
+++ b/src/fleet/create_rollout_tracker_test.ts
@@ -1,11 +1,11 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { createRolloutWatch } from "./create_rollout_watch.ts";
+import { createRolloutTracker } from "./create_rollout_tracker.ts";
 
 function startRollout() {
   let nowMs = 0;
   const inForce: unknown[] = [];
-  const rollout = createRolloutWatch({
+  const rollout = createRolloutTracker({
     now: () => nowMs,
     log: (_event, fields) => void inForce.push(fields),
     metrics: { gauge: () => {}, timing: () => {} },
@@ -15,13 +15,13 @@
 
 test("a version is in force once the last gateway has applied it", () => {
   const { rollout, inForce, passMs } = startRollout();
-  for (const vm of ["a", "b"]) rollout.noteHeld(vm, 3);
-  rollout.noteAccepted(5);
+  for (const vm of ["a", "b"]) rollout.onApplied(vm, 3);
+  rollout.onAccepted(5);
   passMs(120);
-  rollout.noteHeld("a", 5);
+  rollout.onApplied("a", 5);
   assert.equal(rollout.listLagging(), ["b"]);
   passMs(80);
-  rollout.noteHeld("b", 5);
+  rollout.onApplied("b", 5);
   assert.equal(inForce, [
     { version: 5, tookMs: 200, gateways: 2, lastVm: "b" },
   ]);
@@ -29,10 +29,10 @@
 
 test("a departed gateway does not hold up a rollout", () => {
   const { rollout, inForce } = startRollout();
-  for (const vm of ["a", "b"]) rollout.noteHeld(vm, 3);
-  rollout.noteAccepted(5);
-  rollout.noteHeld("a", 5);
-  rollout.forget("b");
+  for (const vm of ["a", "b"]) rollout.onApplied(vm, 3);
+  rollout.onAccepted(5);
+  rollout.onApplied("a", 5);
+  rollout.removeGateway("b");
   assert.is(inForce.length, 1);
 });
 
--- a/src/fleet/create_written_news.ts
+++ b/src/fleet/create_session_codec.ts
@@ -11,14 +11,14 @@
 import type { ConfigHistory } from "./create_config_history.ts";
 import { createConfigMessages } from "./create_config_messages.ts";
 import { createEngineNumbers } from "./create_engine_numbers.ts";
-import type { AcceptedConfig } from "./create_fleet_machine.ts";
+import type { AcceptedConfig } from "./create_fleet_state_machine.ts";
 import type { GatewayMessage, LeaderMessage } from "./messages.ts";
 import {
   formatLeaderMessage,
   parseGatewayMessage,
 } from "./session_messages.ts";
 
-/** Dependencies of {@link createWrittenNews}. */
+/** Dependencies of {@link createSessionCodec}. */
 export interface CreateSessionCodecOptions {
   readonly getEngines: () => readonly EngineRecord[];
   /** Whether the list is known to be complete. */
@@ -38,10 +38,10 @@
     /** Version that the gateway has; -1 for none. */
     fromVersion: number,
   ): wire.FleetMessage;
-  /** Encodes the list of all engines; cached until {@link forgetEngines} is called. */
+  /** Encodes the list of all engines; cached until {@link invalidateEngines} is called. */
   formatEngines(): wire.FleetMessage;
   /** Invalidates the cached list of all engines. */
-  forgetEngines(): void;
+  invalidateEngines(): void;
 }
 
 /**
@@ -53,7 +53,7 @@
  * @example
  * stream.write(codec.formatEngines());
  */
-export function createWrittenNews(
+export function createSessionCodec(
   options: CreateSessionCodecOptions,
 ): SessionCodec {
   const numbers = createEngineNumbers();
@@ -78,7 +78,7 @@
       }
       return engineList.message;
     },
-    forgetEngines() {
+    invalidateEngines() {
       engineList = undefined;
     },
   };
--- a/src/fleet/fleet_parts_test.ts
+++ b/src/fleet/fleet_parts_test.ts
@@ -1,9 +1,9 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import {
-  createFleetMachine,
+  createFleetStateMachine,
   type FleetCommand,
-} from "./create_fleet_machine.ts";
+} from "./create_fleet_state_machine.ts";
 import { subtractLoads, sumLoads } from "./sum_loads.ts";
 import { packDocument, unpackDocument } from "./pack_document.ts";
 
@@ -12,7 +12,7 @@
 }
 
 function apply(
-  machine: ReturnType<typeof createFleetMachine>,
+  machine: ReturnType<typeof createFleetStateMachine>,
   ...commands: readonly FleetCommand[]
 ): void {
   for (const command of commands) machine.apply(JSON.stringify(command));
@@ -36,7 +36,7 @@
 
 test("a lower or equal version that is applied later does not replace the highest", () => {
   const accepted: number[] = [];
-  const machine = createFleetMachine({
+  const machine = createFleetStateMachine({
     onChange: (command) => {
       if (command.type === "putConfig") accepted.push(command.version);
     },
@@ -48,12 +48,12 @@
     putConfig(5, "five"),
     putConfig(7, "other seven"),
   );
-  assert.is(machine.getAccepted()?.packed, "seven");
+  assert.is(machine.getAcceptedConfig()?.packed, "seven");
   assert.equal(accepted, [3, 7]);
 });
 
 test("a leave is never undone, and gone is final", () => {
-  const machine = createFleetMachine();
+  const machine = createFleetStateMachine();
   apply(
     machine,
     { type: "leave", engineId: "e", kind: "gone" },
@@ -69,14 +69,14 @@
     address: `${vm}:80`,
     isReady: true,
   }));
-  const machine = createFleetMachine();
+  const machine = createFleetStateMachine();
   const changed = [first, second];
   apply(
     machine,
     { type: "gateways", changed, lost: [] },
     { type: "gateways", changed: [{ ...first, isReady: false }], lost: ["g2"] },
   );
-  const restored = createFleetMachine();
+  const restored = createFleetStateMachine();
   restored.restore(machine.save());
   assert.equal([...restored.getGateways().values()], [
     { ...first, isReady: false },
@@ -84,7 +84,7 @@
 });
 
 test("applied commands survive a restart, and the number of leaves is bounded", () => {
-  const machine = createFleetMachine({ maxLeaves: 2 });
+  const machine = createFleetStateMachine({ maxLeaves: 2 });
   apply(
     machine,
     putConfig(3, "three"),
@@ -92,9 +92,9 @@
     { type: "leave", engineId: "b", kind: "gone" },
     { type: "leave", engineId: "c", kind: "draining" },
   );
-  const restored = createFleetMachine();
+  const restored = createFleetStateMachine();
   restored.restore(machine.save());
-  assert.is(restored.getAccepted()?.packed, "three");
+  assert.is(restored.getAcceptedConfig()?.packed, "three");
   assert.is(restored.getLeave("a"), undefined);
   assert.is(restored.getLeave("c"), "draining");
 });
--- a/src/fleet/hand_over.ts
+++ b/src/fleet/hand_over_leadership.ts
@@ -24,7 +24,7 @@
  * @example
  * await handOverLeadership(replica);
  */
-export async function handOver(
+export async function handOverLeadership(
   replica: Pick<Replica, "getState" | "transferLeadership">,
 ): Promise<void> {
   if (replica.getState().role !== "leader") return;
--- a/src/fleet/index.ts
+++ b/src/fleet/index.ts
@@ -7,10 +7,10 @@
 export * from "./add_quarantine_routes.ts";
 export * from "./create_engine_numbers.ts";
 export * from "./create_engine_registry.ts";
-export * from "./create_layer_keeper.ts";
-export * from "./create_fleet_machine.ts";
-export * from "./create_pace_watch.ts";
-export * from "./create_repeat_lender.ts";
+export * from "./create_layer_controller.ts";
+export * from "./create_fleet_state_machine.ts";
+export * from "./create_pace_monitor.ts";
+export * from "./create_retry_lender.ts";
 export * from "./get_config_digest.ts";
 export * from "./messages.ts";
 export type { FleetSeed } from "./open_fleet_storage.ts";
--- a/src/fleet/messages.ts
+++ b/src/fleet/messages.ts
@@ -4,7 +4,7 @@
  * @module
  */
 
-import type { EngineBeat, EngineRecord } from "../engines/index.ts";
+import type { EngineHeartbeat, EngineRecord } from "../engines/index.ts";
 import type { CrashReport } from "../quarantine/index.ts";
 import type { ConfigChange, RouteConfig } from "../routes/index.ts";
 
@@ -52,7 +52,7 @@
 >;
 
 /** A rate limit of an upstream as the leader publishes it to gateways. */
-export interface ToldLimit {
+export interface PublishedLimit {
   /** Incarnation of the upstream. */
   readonly engineId: string;
   /** Requests per second from all gateways together; null if it is unlimited. */
@@ -133,7 +133,7 @@
     /** Requests whose trial run on this gateway has ended; absent if none. */
     readonly trialsEnded?: readonly string[];
     /** Suspected requests for which it requests a trial run; absent if none. */
-    readonly trialsWanted?: readonly TrialWish[];
+    readonly trialsWanted?: readonly TrialRequest[];
     /** New rate limits that it read in responses; absent if none. */
     readonly limits?: readonly LimitReport[];
   }
@@ -146,14 +146,14 @@
   };
 
 /** A request of a gateway to run a suspected request on trial. */
-export interface TrialWish {
+export interface TrialRequest {
   readonly requestKey: string;
   /** Upstreams where it may start, in order of preference. */
   readonly engineIds: readonly string[];
 }
 
 /** A suspected request as the leader publishes it to gateways. */
-export interface ToldCase {
+export interface PublishedCase {
   readonly requestKey: string;
   /** Incarnations of upstreams that crashed under it. */
   readonly engineIds: readonly string[];
@@ -169,9 +169,9 @@
     /** Addresses of the control processes, for each other and for gateways. */
     readonly controlAddresses: readonly string[];
     /** All requests suspected of crashing upstreams. */
-    readonly cases: readonly ToldCase[];
+    readonly cases: readonly PublishedCase[];
     /** All rate limits in force. */
-    readonly limits: readonly ToldLimit[];
+    readonly limits: readonly PublishedLimit[];
   }
   | {
     readonly type: "config";
@@ -226,7 +226,7 @@
   | {
     /** Changes of the requests suspected of crashing upstreams. */
     readonly type: "cases";
-    readonly cases: readonly ToldCase[];
+    readonly cases: readonly PublishedCase[];
     /** Requests that are no longer suspected. */
     readonly cleared: readonly string[];
   }
@@ -241,7 +241,7 @@
   | {
     /** Rate limits that came into force, changed or ended. */
     readonly type: "limits";
-    readonly limits: readonly ToldLimit[];
+    readonly limits: readonly PublishedLimit[];
   }
   | {
     readonly type: "grants";
@@ -264,7 +264,7 @@
     readonly packed: string;
   }
   | { readonly type: "readConfig" }
-  | { readonly type: "beat"; readonly beat: EngineBeat }
+  | { readonly type: "beat"; readonly beat: EngineHeartbeat }
   | {
     readonly type: "leave";
     /** The upstream's name, as it reports it itself. */
@@ -279,6 +279,6 @@
 export type FleetReply =
   | { readonly type: "done" }
   | { readonly type: "document"; readonly document: string | null }
-  | { readonly type: "cases"; readonly cases: readonly ToldCase[] }
+  | { readonly type: "cases"; readonly cases: readonly PublishedCase[] }
   | { readonly type: "invalid"; readonly problems: readonly string[] }
   | { readonly type: "unavailable"; readonly reason: string };
--- a/src/fleet/start_fleet_control.ts
+++ b/src/fleet/start_fleet_control.ts
@@ -20,29 +20,29 @@
 import { createEngineRecorder } from "./create_engine_recorder.ts";
 import { createEngineRegistry } from "./create_engine_registry.ts";
 import {
-  createFleetMachine,
+  createFleetStateMachine,
   type FleetCommand,
-} from "./create_fleet_machine.ts";
+} from "./create_fleet_state_machine.ts";
 import { createGatewayRecorder } from "./create_gateway_recorder.ts";
 import { createGatewaySessions } from "./create_gateway_sessions.ts";
 import {
-  createLayerKeeper,
+  createLayerController,
   type SendLayerOrder,
-} from "./create_layer_keeper.ts";
+} from "./create_layer_controller.ts";
 import { createLeaderClient } from "./create_leader_client.ts";
 import { createLeaderCallHandler } from "./create_leader_call_handler.ts";
 import { createLeaderLoop, VOTER_TIMEOUT_MS } from "./create_leader_loop.ts";
-import { createLimitDesk } from "./create_limit_desk.ts";
+import { createLimitCoordinator } from "./create_limit_coordinator.ts";
 import { createMembershipManager } from "./create_membership_manager.ts";
-import { createPaceMonitor, type ReadPace } from "./create_pace_watch.ts";
-import { createQuarantineCoordinator } from "./create_quarantine_desk.ts";
+import { createPaceMonitor, type ReadPace } from "./create_pace_monitor.ts";
+import { createQuarantineCoordinator } from "./create_quarantine_coordinator.ts";
 import {
-  createRepeatLender,
+  createRetryLender,
   type FleetRetryBudget,
-} from "./create_repeat_lender.ts";
+} from "./create_retry_lender.ts";
 import type { DecodeConfig, FleetCall, FleetReply } from "./messages.ts";
 import { type FleetSeed, openFleetStorage } from "./open_fleet_storage.ts";
-import { handOver } from "./hand_over.ts";
+import { handOverLeadership } from "./hand_over_leadership.ts";
 import { startFleetServer } from "./start_fleet_server.ts";
 
 /** Settings of a control process. */
@@ -63,9 +63,9 @@
   /** Number of voters that tolerates the expected failures. */
   readonly voters: number;
   /** Ms between two heartbeats of an upstream. */
-  readonly beatIntervalMs: number;
+  readonly upstreamHeartbeatIntervalMs: number;
   /** Retry budget of all gateways together. */
-  readonly repeats: FleetRetryBudget;
+  readonly retryBudget: FleetRetryBudget;
   /**
    * Monotonic time, in ms, at which this process started: no leader can have contacted
    * it before. Defaults to the time of the call.
@@ -151,7 +151,7 @@
   // Failure timeouts use the steady clock, which excludes suspensions of the machine;
   // only the lease has to expire during a suspension.
   const now = () => performance.now();
-  const { getWokeMs } = createElapsedClock({
+  const { getLastWakeMs: getWokeMs } = createElapsedClock({
     steadyNow: now,
     dayNow: Date.now,
   });
@@ -169,17 +169,17 @@
   // Heartbeats are rejected without a lease, so that time does not count as silence.
   const listening = createListeningClock({
     now,
-    lookIntervalMs: TICK_INTERVAL_MS,
+    tickIntervalMs: TICK_INTERVAL_MS,
     isListening: false,
   });
   let listeningSinceMs = 0;
   const hasListenedFor = (spanMs: number) =>
     listening.now() - listeningSinceMs >= spanMs;
-  const heartbeatTimeoutMs = settings.beatIntervalMs *
+  const heartbeatTimeoutMs = settings.upstreamHeartbeatIntervalMs *
     HEARTBEAT_TIMEOUT_INTERVALS;
 
   const history = createConfigHistory(options);
-  const machine = createFleetMachine({ onChange: handleCommand });
+  const machine = createFleetStateMachine({ onChange: handleCommand });
   // Addresses that replicas report in their messages: a replica that starts without
   // state knows no members; it responds to, and joins, those that contact it.
   const senderAddresses = new Map<string, string>();
@@ -191,25 +191,25 @@
     getAddress: (id, { members }) =>
       members.find((one) => one.id === id)?.address ?? senderAddresses.get(id),
     onSender: (id, address) => void senderAddresses.set(id, address),
-    onLead,
-    onLeadLost,
+    onLeadershipGained: onLead,
+    onLeadershipLost: onLeadLost,
     onFatal: options.onFatal,
-    quietSinceMs: settings.processStartedMs,
-    getWokeMs,
+    processStartedMs: settings.processStartedMs,
+    getLastWakeMs: getWokeMs,
     log,
     metrics,
     now,
   });
   // Decoded on demand only: a follower does not need it.
   const getServices = () => {
-    const accepted = machine.getAccepted();
+    const accepted = machine.getAcceptedConfig();
     return accepted ? history.read(accepted.packed).services : [];
   };
   const isLeader = () => replica.getState().role === "leader";
   const isRecordedStateLoaded = () => loadedLeadership === leadershipCount;
   const registry = createEngineRegistry({
     silenceMs: heartbeatTimeoutMs,
-    quietMs: settings.beatIntervalMs * CLOCK_PAUSE_INTERVALS,
+    quietMs: settings.upstreamHeartbeatIntervalMs * CLOCK_PAUSE_INTERVALS,
     now: listening.now,
     getLeave: machine.getLeave,
     // Before the first configuration any service name is accepted.
@@ -221,9 +221,9 @@
     publish: (change) => sessions.publishEngines(change),
     log,
   });
-  const retryLender = createRepeatLender({
-    ...settings.repeats,
-    getLeadsForMs: () => now() - leadingSinceMs,
+  const retryLender = createRetryLender({
+    ...settings.retryBudget,
+    getLeadershipMs: () => now() - leadingSinceMs,
     now,
   });
   const propose = (command: FleetCommand) =>
@@ -235,7 +235,7 @@
     now,
     log,
   });
-  const limits = createLimitDesk({
+  const limits = createLimitCoordinator({
     publish: (limit) => sessions.publish({ type: "limits", limits: [limit] }),
     // Successive leaders start at different times, so their versions differ.
     firstVersion: Date.now(),
@@ -255,17 +255,17 @@
     getLeaderAddress: () => hasRecentLeader() ? getLeader()?.address ?? "" : "",
     getControlAddresses: () =>
       replica.getState().members.map((member) => member.address),
-    getAccepted: machine.getAccepted,
+    getAcceptedConfig: machine.getAcceptedConfig,
     history,
     getEngines: registry.getRecords,
     knowsAllEngines: registry.knowsAll,
     knowsAllGateways: () => hasLedFor(GATEWAYS_CONNECT_MS),
-    lendRepeats: retryLender.lend,
+    grantRetries: retryLender.lend,
     quarantine,
     limits,
-    onSuspects: registry.takeSuspects,
-    onSlow: (engineIds) => paceMonitor.recordSlow(engineIds),
-    onLeaving: (engineIds) => void calls.recordLeaves(engineIds),
+    onSuspectedEngines: registry.addSuspicions,
+    onSlowEngines: (engineIds) => paceMonitor.recordSlow(engineIds),
+    onLeavingEngines: (engineIds) => void calls.recordLeaves(engineIds),
     now,
     listeningNow: listening.now,
     log,
@@ -283,11 +283,11 @@
     getEngines: () =>
       registry.getRecords().filter((record) => record.layers !== undefined),
     readPace: options.readPace,
-    onPace: registry.takePace,
+    onPace: registry.setPace,
     onNotice: handleNotice,
     now,
   });
-  const layerManager = createLayerKeeper({
+  const layerManager = createLayerController({
     getServices,
     getEngines: registry.getRecords,
     sendOrder: options.sendLayerOrder,
@@ -301,13 +301,13 @@
     log,
   });
   const engineRecorder = createEngineRecorder({
-    getHeard: registry.getRecords,
+    getKnown: registry.getRecords,
     getRecorded: machine.getEngines,
     propose,
     log,
   });
   const gatewayRecorder = createGatewayRecorder({
-    getTold: sessions.getToldGateways,
+    getPublished: sessions.getPublishedGateways,
     getRecorded: machine.getGateways,
     propose,
     log,
@@ -359,10 +359,10 @@
     }
     if (command.type === "leave") {
       // A follower keeps no registry; it reads the state machine when it is elected.
-      if (isLeader()) registry.takeLeave(command.engineId, command.kind);
+      if (isLeader()) registry.applyLeave(command.engineId, command.kind);
       return;
     }
-    history.note(command);
+    history.add(command);
     log("configAccepted", { version: command.version });
     if (isLeader()) sessions.publishConfig(command.version);
   }
@@ -394,15 +394,15 @@
       // No longer the leader: the next one adds the recorded state.
       return;
     }
-    const accepted = machine.getAccepted();
-    if (accepted) history.note(accepted);
+    const accepted = machine.getAcceptedConfig();
+    if (accepted) history.add(accepted);
     const recorded = [...machine.getEngines().values()];
     const staying = recorded.filter(({ engineId }) =>
       machine.getLeave(engineId) !== "gone"
     );
-    const newestRuns = machine.getNewestRuns();
+    const newestRuns = machine.getNewestIncarnations();
     registry.addRecorded(staying, { newestRuns });
-    sessions.expectGateways(machine.getGateways().values());
+    sessions.awaitGateways(machine.getGateways().values());
     loadedLeadership = leadership;
   }
 
@@ -473,7 +473,7 @@
   async function stop(): Promise<void> {
     log("stopping", { vm: settings.callerAddress });
     joining.abort();
-    await handOver(replica);
+    await handOverLeadership(replica);
     clearInterval(timer);
     sessions.closeAll();
     await leaderClient[Symbol.asyncDispose]();
--- a/src/gateway/admission_test.ts
+++ b/src/gateway/admission_test.ts
@@ -2,11 +2,14 @@
 import * as assert from "uvu/assert";
 import type { LayeredModel } from "../routes/index.ts";
 import { choosePath, type PathNeed } from "./choose_path.ts";
-import { createEndRate } from "./create_end_rate.ts";
+import { createStreamEndRate } from "./create_stream_end_rate.ts";
 import { createEngineTable } from "./create_engine_table.ts";
 import { getSlowness } from "./engine_view.ts";
-import { createReturnSchedule } from "./create_return_schedule.ts";
-import { createRoomQueue, createRoomQueues } from "./create_room_queue.ts";
+import { createRetryAfterSchedule } from "./create_retry_after_schedule.ts";
+import {
+  createCapacityQueue,
+  createCapacityQueues,
+} from "./create_capacity_queue.ts";
 
 const MODEL: LayeredModel = {
   layers: 8,
@@ -32,7 +35,7 @@
   const table = createEngineTable({
     now: () => nowMs,
     log: () => {},
-    onGone: () => {},
+    onRemoved: () => {},
   });
   const engines = ids.map((engineId) => ({
     engineId,
@@ -44,7 +47,7 @@
     card: "card",
     layers: { fromLayer: 0, toLayer: 8 },
   }));
-  table.take({ type: "engines", isWhole: true, engines, gone: [] });
+  table.applyUpdate({ type: "engines", isWhole: true, engines, gone: [] });
   const choose = (need?: PathNeed) =>
     choosePath(table.listUsable("model"), {
       model: MODEL,
@@ -65,9 +68,9 @@
 test("a new request goes where it fits, a resumed stream may use more memory", () => {
   const { table, choose } = startTable(["a", "b"]);
   const busy = { tokens: 900, requests: 9 };
-  table.takeLoads({ a: busy });
+  table.updateLoads({ a: busy });
   assert.is(choose({ tokens: 100, isNew: true }), "b");
-  table.takeLoads({ a: busy, b: busy });
+  table.updateLoads({ a: busy, b: busy });
   assert.is(choose({ tokens: 100, isNew: true }), undefined);
   assert.ok(choose({ tokens: 100, isNew: false }));
   assert.is(choose({ tokens: CAPACITY_TOKENS, isNew: false }), undefined);
@@ -76,7 +79,7 @@
 
 test("a first engine whose slots are in use accepts resumed streams only", () => {
   const { table, choose } = startTable(["a"], 10);
-  table.takeLoads({ a: { tokens: 90, requests: 10 } });
+  table.updateLoads({ a: { tokens: 90, requests: 10 } });
   assert.is(choose({ tokens: 1, isNew: true }), undefined);
   assert.is(choose({ tokens: 1, isNew: false }), "a");
 });
@@ -93,7 +96,7 @@
 test("the slowness that an engine reports itself counts at once, and for 2 s", () => {
   const { table, choose, wait } = startTable(["a", "b"]);
   assert.is(choose(), "a");
-  table.notePace("a", 6);
+  table.noteSlowness("a", 6);
   assert.is(choose(), "b");
   const view = table.get("a");
   assert.is(view && getSlowness(view, 100), 6);
@@ -102,7 +105,7 @@
 });
 
 test("streams that wait for capacity are admitted in order of arrival", () => {
-  const queue = createRoomQueue({
+  const queue = createCapacityQueue({
     getEndIntervalMs: () => 30,
     getOthersWaiting: () => 0,
     beginWait: () => () => {},
@@ -120,7 +123,7 @@
 });
 
 test("streams that wait for one model don't delay those of another", () => {
-  const getRoomQueue = createRoomQueues({
+  const getRoomQueue = createCapacityQueues({
     getEndIntervalMs: () => 30,
     getOthersWaiting: () => 0,
     beginWait: () => () => {},
@@ -132,7 +135,7 @@
 
 test("the interval between stream ends follows those of the last seconds", () => {
   let nowMs = 0;
-  const rate = createEndRate({ now: () => nowMs });
+  const rate = createStreamEndRate({ now: () => nowMs });
   assert.is(rate.getIntervalMs(), 2_000);
   for (; nowMs < 4_000; nowMs += 100) rate.noteEnd({ tookMs: nowMs });
   assert.ok(Math.abs(rate.getIntervalMs() - 100) < 6);
@@ -142,18 +145,18 @@
 
 test("the longest stream time is kept for a while", () => {
   let nowMs = 0;
-  const rate = createEndRate({ now: () => nowMs });
-  assert.is(rate.getLongestMs(), 0);
+  const rate = createStreamEndRate({ now: () => nowMs });
+  assert.is(rate.getMaxDurationMs(), 0);
   rate.noteEnd({ tookMs: 7_000 });
   nowMs = 20_000;
   rate.noteEnd({ tookMs: 2_000 });
-  assert.is(rate.getLongestMs(), 7_000);
+  assert.is(rate.getMaxDurationMs(), 7_000);
   nowMs = 40_000;
-  assert.is(rate.getLongestMs(), 2_000);
+  assert.is(rate.getMaxDurationMs(), 2_000);
 });
 
 test("retries of callers are spaced no closer than capacity becomes free", () => {
-  const schedule = createReturnSchedule({
+  const schedule = createRetryAfterSchedule({
     getEndIntervalMs: () => 100,
     getGatewayCount: () => 1,
     now: () => 0,
@@ -168,7 +171,7 @@
 
 test("retry waits have jitter, so that gateways don't synchronise", () => {
   const draws = [0, 1];
-  const schedule = createReturnSchedule({
+  const schedule = createRetryAfterSchedule({
     getEndIntervalMs: () => 0,
     getGatewayCount: () => 1,
     now: () => 0,
--- a/src/gateway/admit_call.ts
+++ b/src/gateway/admit_call.ts
@@ -4,9 +4,9 @@
  * @module
  */
 
-import { listBeginners } from "./create_run_permit.ts";
+import { listFirstUpstreams } from "./create_run_permit.ts";
 import type { EngineView } from "./engine_view.ts";
-import { spreadReturnMs } from "./spread_return_ms.ts";
+import { jitterRetryAfterMs } from "./jitter_retry_after_ms.ts";
 import type { Call, ServingContext } from "./types.ts";
 
 /**
@@ -41,11 +41,11 @@
 ): number | undefined {
   const { throttle } = context;
   if (!throttle.isLimited(call.service)) return undefined;
-  if (!isBusy(listBeginners(call, context))) return undefined;
+  if (!isBusy(listFirstUpstreams(call, context))) return undefined;
   const waitMs = throttle.admit(call.service);
   if (waitMs === undefined) return undefined;
   const minWaitMs = Math.max(MIN_RETRY_AFTER_MS, waitMs);
-  return spreadReturnMs(minWaitMs, context.random());
+  return jitterRetryAfterMs(minWaitMs, context.random());
 }
 
 /**
--- a/src/gateway/choose_call_path.ts
+++ b/src/gateway/choose_call_path.ts
@@ -4,15 +4,18 @@
  * @module
  */
 
-import { getUsualTokens } from "../layers/index.ts";
+import { getMeanRequestTokens } from "../layers/index.ts";
 import type { LayeredModel } from "../routes/index.ts";
 import { chooseEngine } from "./choose_engine.ts";
 import { choosePath, type PathNeed } from "./choose_path.ts";
 import type { EngineView } from "./engine_view.ts";
 import { getLimitWaitMs } from "./get_limit_wait_ms.ts";
-import { type ExpectedWork, expectOthers } from "./expect_others.ts";
+import {
+  type EstimatedWork,
+  estimateOtherWork,
+} from "./estimate_other_work.ts";
 import { getBackOffWaitMs } from "./get_back_off_wait_ms.ts";
-import { listSendable } from "./list_sendable.ts";
+import { listSendableEngines } from "./list_sendable_engines.ts";
 import type { AddressedPart } from "./protocol.ts";
 import type { Call, ServingContext } from "./types.ts";
 
@@ -86,11 +89,11 @@
     place,
     gatewayCount: context.getGatewayCount(),
     maxUnreportedRequests: startedRequests,
-    hasIdleConnection: context.exchanger.hasIdleConnection,
+    hasIdleConnection: context.upstreamClient.hasIdleConnection,
     expected: estimateWork(usable, { call, context, model, startedRequests }),
     drawRandomCost: startedRequests === Infinity ? context.random : undefined,
     excluded,
-    canStartAt: rateLimits.hasSendLeft,
+    canStartAt: rateLimits.maySend,
     mayCrossPlaces: engines.getCrossPlacePrompts() < MAX_CROSS_PLACE_PROMPTS,
     nowMs: now(),
   };
@@ -142,7 +145,7 @@
   { service }: Call,
   context: ServingContext,
 ): number {
-  const askedPerS = context.rates.getAskedPerS(service);
+  const askedPerS = context.rates.getRequestsPerS(service);
   if (askedPerS === undefined) return Infinity;
   const asked = askedPerS * getLoadsAgeS(context);
   return asked + context.engines.getDisplacedRequests();
@@ -156,7 +159,7 @@
     readonly model: LayeredModel;
     readonly startedRequests: number;
   },
-): ExpectedWork | undefined {
+): EstimatedWork | undefined {
   const { call, context, model, startedRequests } = options;
   const { rates, random } = context;
   if (startedRequests === Infinity || startedRequests < 1) return undefined;
@@ -166,10 +169,10 @@
   );
   const ended = getLoadsAgeS(context) * MS_PER_S /
     rates.getEndIntervalMs(call.service);
-  const usualTokens = getUsualTokens(model);
+  const usualTokens = getMeanRequestTokens(model);
   const places = context.listGatewayPlaces();
-  return expectOthers({
-    begunRequests: startedRequests,
+  return estimateOtherWork({
+    startedRequests,
     endedShare: Math.min(1, ended / Math.max(1, reportedRequests)),
     usualTokens,
     choose: (expected) =>
@@ -195,7 +198,7 @@
   options: ChooseCallPathOptions,
 ): AddressedPart[] | undefined {
   const { place, now, random } = context;
-  const engine = chooseEngine(listSendable(call, context), {
+  const engine = chooseEngine(listSendableEngines(call, context), {
     place,
     excluded: options.excluded,
     nowMs: now(),
@@ -221,8 +224,8 @@
   { request }: Pick<Call, "request">,
   model: Pick<LayeredModel, "usualAnswerTokens"> | undefined,
 ): number {
-  const usualTokens = model?.usualAnswerTokens ?? request.answerTokens;
-  return request.promptTokens + Math.min(usualTokens, request.answerTokens);
+  const usualTokens = model?.usualAnswerTokens ?? request.maxAnswerTokens;
+  return request.promptTokens + Math.min(usualTokens, request.maxAnswerTokens);
 }
 
 /**
@@ -240,7 +243,7 @@
  * @example
  * const path = findAlternatePath(call, context, { path: current, excluded });
  */
-export function findDetour(
+export function findAlternatePath(
   call: Call,
   context: ServingContext,
   options: Pick<ChooseCallPathOptions, "excluded"> & {
--- a/src/gateway/choose_call_path_test.ts
+++ b/src/gateway/choose_call_path_test.ts
@@ -4,7 +4,7 @@
 import { makeLayeredModel } from "../../test/support/make_layered_model.ts";
 import { makeRateLimits } from "../../test/support/make_rate_limits.ts";
 import type { LayerRange } from "../engines/index.ts";
-import { chooseCallPath, findDetour } from "./choose_call_path.ts";
+import { chooseCallPath, findAlternatePath } from "./choose_call_path.ts";
 import { createEngineNotices } from "./create_engine_notices.ts";
 import { createEngineTable } from "./create_engine_table.ts";
 import type { Call, ServingContext } from "./types.ts";
@@ -13,7 +13,7 @@
 
 const CALL = {
   service: "s",
-  request: { promptTokens: 20, answerTokens: 20 },
+  request: { promptTokens: 20, maxAnswerTokens: 20 },
 } as Call;
 
 const LOWER: LayerRange = { fromLayer: 0, toLayer: 4 };
@@ -31,14 +31,19 @@
   const engines = createEngineTable({
     now: () => clock.ms,
     log: () => {},
-    onGone: () => {},
+    onRemoved: () => {},
     notices,
   });
   const records = Object.entries({ a1: LOWER, a2: LOWER, b1: UPPER, b2: UPPER })
     .map(([engineId, layers]) =>
       makeEngineRecord(engineId, { layers, card: "card", slots: 8 })
     );
-  engines.take({ type: "engines", isWhole: true, engines: records, gone: [] });
+  engines.applyUpdate({
+    type: "engines",
+    isWhole: true,
+    engines: records,
+    gone: [],
+  });
   const context = {
     engines,
     notices,
@@ -49,11 +54,11 @@
     getTable: () => ({ getService: () => ({ model: MODEL }) }),
     getGatewayCount: () => 1,
     listGatewayPlaces: () => ["p"],
-    rates: { getAskedPerS: () => undefined },
-    exchanger: { hasIdleConnection: () => true },
+    rates: { getRequestsPerS: () => undefined },
+    upstreamClient: { hasIdleConnection: () => true },
   } as unknown as ServingContext;
   const backOff = (engineId: string, backOffMs: number) =>
-    notices.take(engineId, { backOffMs, isLeaving: false });
+    notices.record(engineId, { backOffMs, isLeaving: false });
   const choose = (excluded: readonly string[] = []) =>
     chooseCallPath(CALL, context, {
       excluded: new Set(excluded),
@@ -70,11 +75,11 @@
 test("a path doesn't start at an engine whose rate limit is used up", async () => {
   const { context, choose } = makeFleet();
   const { rateLimits } = context;
-  rateLimits.takeTold([{ engineId: "a1", limitPerS: 1, version: 1 }]);
-  rateLimits.takeTold([{ engineId: "b1", limitPerS: 1, version: 2 }]);
+  rateLimits.applyLimits([{ engineId: "a1", limitPerS: 1, version: 1 }]);
+  rateLimits.applyLimits([{ engineId: "b1", limitPerS: 1, version: 2 }]);
   // Without a leader, gateways have no send permits at first.
-  await rateLimits.request("a1");
-  await rateLimits.request("b1");
+  await rateLimits.requestGrant("a1");
+  await rateLimits.requestGrant("b1");
   // Gateways don't send to the later engines of a path, so their limits don't apply.
   assert.equal(listIds(choose()), ["a2", "b1"]);
 });
@@ -83,13 +88,13 @@
   const { context, choose } = makeFleet();
   const { rateLimits } = context;
   for (const engineId of ["a1", "a2"]) {
-    rateLimits.takeTold([{ engineId, limitPerS: 1, version: 1 }]);
-    await rateLimits.request(engineId);
+    rateLimits.applyLimits([{ engineId, limitPerS: 1, version: 1 }]);
+    await rateLimits.requestGrant(engineId);
   }
   assert.equal(choose(), { type: "limited", leftMs: 500 });
   assert.equal(choose(["a1"]), { type: "limited", leftMs: 500 });
   // An engine that failed this call but isn't limited may become usable in time.
-  rateLimits.takeTold([{ engineId: "a2", limitPerS: null, version: 2 }]);
+  rateLimits.applyLimits([{ engineId: "a2", limitPerS: null, version: 2 }]);
   assert.is(choose(["a2"]).type, "missing");
   assert.equal(listIds(choose()), ["a2", "b1"]);
 });
@@ -103,8 +108,8 @@
 
 test("no engine of a path has announced that it is leaving", () => {
   const { notices, choose } = makeFleet();
-  notices.take("a2", { isLeaving: true });
-  notices.take("b1", { isLeaving: true });
+  notices.record("a2", { isLeaving: true });
+  notices.record("b1", { isLeaving: true });
   assert.equal(listIds(choose()), ["a1", "b2"]);
 });
 
@@ -130,10 +135,10 @@
     { engineId: "b1", address: "b1:80", ...UPPER },
   ];
   const excluded = new Set(["b1"]);
-  const detour = findDetour(CALL, context, { path, excluded });
+  const detour = findAlternatePath(CALL, context, { path, excluded });
   assert.equal(detour?.map(({ engineId }) => engineId), ["a1", "b2"]);
   backOff("b2", 500);
-  assert.is(findDetour(CALL, context, { path, excluded }), undefined);
+  assert.is(findAlternatePath(CALL, context, { path, excluded }), undefined);
 });
 
 /** One first engine, and two engines for each of the other ranges. */
@@ -150,7 +155,12 @@
     makeEngineRecord(engineId, { layers, card: "card", slots: 8 })
   );
   const { engines } = context;
-  engines.take({ type: "engines", isWhole: true, engines: records, gone: [] });
+  engines.applyUpdate({
+    type: "engines",
+    isWhole: true,
+    engines: records,
+    gone: [],
+  });
   const path = (["f", "m1", "z1"] as const).map((engineId) => ({
     engineId,
     address: `${engineId}:80`,
@@ -159,7 +169,7 @@
   const fill = (engineId: "m2" | "z1", tokens: number) =>
     engines.addWork([{ engineId, ...ranges[engineId] }], { tokens });
   const findIds = () =>
-    findDetour(CALL, context, { path, excluded: new Set(["m1"]) })
+    findAlternatePath(CALL, context, { path, excluded: new Set(["m1"]) })
       ?.map(({ engineId }) => engineId);
   return { fill, findIds };
 }
--- a/src/gateway/choose_engine.ts
+++ b/src/gateway/choose_engine.ts
@@ -17,9 +17,9 @@
   readonly random: number;
   /**
    * Share of the other gateways' reported requests that still run; 1 by default. See
-   * {@link getKeptShare}.
+   * {@link estimateRunningShare}.
    */
-  readonly keptShare?: number;
+  readonly runningShare?: number;
 }
 
 /** Load, as a share of the slots, that an upstream in another data centre counts as. */
@@ -68,8 +68,8 @@
   options: ChooseEngineOptions,
   meanOthers: number,
 ): number {
-  const { record, inFlight, otherRequests, toldLoad: reportedLoad } = engine;
-  const { keptShare: runningShare = 1 } = options;
+  const { record, inFlight, otherRequests, reportedLoad } = engine;
+  const { runningShare: runningShare = 1 } = options;
   const failureShare = getFailureShare(engine, options.nowMs);
   // Requests that have ended were replaced by others, at any of the upstreams.
   const runningOthers = meanOthers +
@@ -93,7 +93,7 @@
  * @example
  * estimateRunningShare({ ageMs: 300, usualMs: 1_200 }); // 0.75
  */
-export function getKeptShare(
+export function estimateRunningShare(
   options: { readonly ageMs: number; readonly usualMs: number | undefined },
 ): number {
   const { ageMs, usualMs } = options;
--- a/src/gateway/choose_path.ts
+++ b/src/gateway/choose_path.ts
@@ -7,8 +7,8 @@
 import {
   findLayerPath,
   getBatchStepMs,
-  getTokenRoom,
-  getUsualTokens,
+  getMeanRequestTokens,
+  getTokenCapacity,
   type PathEngine,
 } from "../layers/index.ts";
 import type { LayeredModel } from "../routes/index.ts";
@@ -17,7 +17,7 @@
   getFailureShare,
   getSlowness,
 } from "./engine_view.ts";
-import type { ExpectedWork } from "./expect_others.ts";
+import type { EstimatedWork } from "./estimate_other_work.ts";
 import type { AddressedPart } from "./protocol.ts";
 
 /** What the choice depends on. */
@@ -34,7 +34,7 @@
   /** Whether an idle connection to an engine is open; true for all by default. */
   readonly hasIdleConnection?: (engineId: string) => boolean;
   /** Estimated work of other gateways beyond the last report; none by default. */
-  readonly expected?: ExpectedWork;
+  readonly expected?: EstimatedWork;
   /**
    * Draws a number in [0, 1) for each engine while no loads are known, so that gateways
    * with equally little knowledge make different choices. Not used by default.
@@ -226,7 +226,7 @@
   const range = record.layers ?? { fromLayer: 0, toLayer: 0 };
   const card = model.cards.find(({ name }) => name === record.card);
   const { usedTokens, capacityTokens } = usage;
-  const requests = usedTokens / getUsualTokens(model);
+  const requests = usedTokens / getMeanRequestTokens(model);
   const stepMs = getBatchStepMs(model, { requests }) *
     (card?.stepFactor ?? 1) * getSlowness(view, nowMs) / model.layers;
   const usedMemory = usedTokens / Math.max(1, capacityTokens);
@@ -284,7 +284,7 @@
     .filter(({ record }) => record.layers?.fromLayer === 0).length;
   const evenShare = 1 / Math.max(1, firstHolders);
   return ({ otherTokens }) => {
-    const requests = otherTokens / getUsualTokens(model);
+    const requests = otherTokens / getMeanRequestTokens(model);
     const share = Math.max(evenShare, requests / Math.max(1, allRequests));
     return maxUnreportedRequests *
       Math.min(1, MAX_GROWTH_CONCENTRATION * share);
@@ -302,7 +302,7 @@
 ): EngineUsage {
   const { model, gatewayCount } = options;
   const { tokensInFlight, tokensAtReport } = view;
-  const usualTokens = getUsualTokens(model);
+  const usualTokens = getMeanRequestTokens(model);
   const requestsAtReport = tokensAtReport / usualTokens;
   const randomGrowth = RANDOM_GROWTH_DEVIATIONS *
     Math.sqrt(requestsAtReport + 1);
@@ -315,14 +315,14 @@
   const requests = view.inFlight + (othersWork.requests + growth);
   return {
     usedTokens: tokensInFlight + (othersWork.tokens + growth * usualTokens),
-    capacityTokens: getTokenCapacity(view, model),
+    capacityTokens: getEngineTokenCapacity(view, model),
     usedSlotsShare: requests / view.record.slots,
   };
 }
 
 function estimateOthersWork(
   { record, otherTokens, otherRequests }: EngineView,
-  expected: ExpectedWork | undefined,
+  expected: EstimatedWork | undefined,
 ): { tokens: number; requests: number } {
   const runningShare = 1 - (expected?.endedShare ?? 0);
   const begun = expected?.begun[record.engineId];
@@ -349,10 +349,13 @@
   return Math.max(0, share - threshold) / (1 - threshold);
 }
 
-function getTokenCapacity({ record }: EngineView, model: LayeredModel): number {
+function getEngineTokenCapacity(
+  { record }: EngineView,
+  model: LayeredModel,
+): number {
   const { layers, card: cardName } = record;
   const card = model.cards.find(({ name }) => name === cardName);
   if (!layers || !card) return 0;
   const layerCount = layers.toLayer - layers.fromLayer;
-  return getTokenRoom(card.memoryMb, model, { layerCount });
+  return getTokenCapacity(card.memoryMb, model, { layerCount });
 }
--- a/src/gateway/choose_path_test.ts
+++ b/src/gateway/choose_path_test.ts
@@ -16,7 +16,7 @@
   const table = createEngineTable({
     now: () => 0,
     log: () => {},
-    onGone: () => {},
+    onRemoved: () => {},
   });
   const makeCopy = (place: string, card: string) => ({
     engineId: place,
@@ -29,7 +29,7 @@
     layers: { fromLayer: 0, toLayer: 8 },
   });
   const engines = [makeCopy("b", "fast"), makeCopy("c", "slow")];
-  table.take({ type: "engines", isWhole: true, engines, gone: [] });
+  table.applyUpdate({ type: "engines", isWhole: true, engines, gone: [] });
   const begin = () => {
     const path = choosePath(table.listUsable("model"), {
       model: MODEL,
@@ -39,7 +39,7 @@
       nowMs: 0,
     });
     const engineId = path?.[0].engineId ?? "none";
-    return { engineId, end: table.beginPrompt(path ?? []) };
+    return { engineId, end: table.beginPrefill(path ?? []) };
   };
   const alone = begin();
   assert.is(alone.engineId, "b");
@@ -55,7 +55,7 @@
   const table = createEngineTable({
     now: () => 0,
     log: () => {},
-    onGone: () => {},
+    onRemoved: () => {},
   });
   const makeHalf = (place: string, fromLayer: number) => ({
     engineId: `${place}${fromLayer}`,
@@ -68,7 +68,7 @@
     layers: { fromLayer, toLayer: fromLayer + 4 },
   });
   const engines = [makeHalf("a", 0), makeHalf("b", 4)];
-  table.take({ type: "engines", isWhole: true, engines, gone: [] });
+  table.applyUpdate({ type: "engines", isWhole: true, engines, gone: [] });
   const choose = (mayCrossPlaces: boolean) =>
     choosePath(table.listUsable("model"), {
       model: MODEL,
@@ -81,14 +81,19 @@
   const path = choose(true);
   assert.equal(path?.map(({ engineId }) => engineId), ["a0", "b4"]);
   assert.is(choose(false), undefined);
-  const end = table.beginPrompt(path ?? []);
+  const end = table.beginPrefill(path ?? []);
   assert.is(table.getCrossPlacePrompts(), 1);
   end();
   end();
   assert.is(table.getCrossPlacePrompts(), 0);
   const whole = { ...makeHalf("c", 0), layers: { fromLayer: 0, toLayer: 8 } };
   const full = { ...whole, card: "slow", slots: 1 };
-  table.take({ type: "engines", isWhole: false, engines: [full], gone: [] });
+  table.applyUpdate({
+    type: "engines",
+    isWhole: false,
+    engines: [full],
+    gone: [],
+  });
   table.addWork([{ engineId: "c0", fromLayer: 0, toLayer: 8 }], {
     tokens: 1e9,
   });
@@ -100,7 +105,7 @@
   const table = createEngineTable({
     now: () => 0,
     log: () => {},
-    onGone: () => {},
+    onRemoved: () => {},
   });
   const engines = ["a", "b", "c"].map((engineId) => ({
     engineId,
@@ -112,7 +117,7 @@
     card: "fast",
     layers: { fromLayer: 0, toLayer: 8 },
   }));
-  table.take({ type: "engines", isWhole: true, engines, gone: [] });
+  table.applyUpdate({ type: "engines", isWhole: true, engines, gone: [] });
   const choose = () =>
     choosePath(table.listUsable("model"), {
       model: { ...MODEL, kvTokenBytes: 8_000, slots: 134 },
@@ -122,9 +127,9 @@
       excluded: new Set(),
       nowMs: 0,
     })?.[0].engineId;
-  table.takeLoads({ b: { tokens: 40, requests: 1 } });
+  table.updateLoads({ b: { tokens: 40, requests: 1 } });
   assert.is(choose(), "b");
-  table.takeLoads({ b: { tokens: 2_000, requests: 50 } });
+  table.updateLoads({ b: { tokens: 2_000, requests: 50 } });
   assert.is(choose(), "a");
 });
 
@@ -152,9 +157,9 @@
       const table = createEngineTable({
         now: () => 0,
         log: () => {},
-        onGone: () => {},
+        onRemoved: () => {},
       });
-      table.take({ type: "engines", isWhole: true, engines, gone: [] });
+      table.applyUpdate({ type: "engines", isWhole: true, engines, gone: [] });
       for (let stream = 0; stream < RETURNING.streams; stream++) {
         const path = choosePath(table.listUsable("model"), {
           model: { ...MODEL, slots: 134 },
@@ -167,7 +172,7 @@
         const { engineId } = path[0];
         counts.set(engineId, (counts.get(engineId) ?? 0) + 1);
         table.addWork(path, { tokens: 40 });
-        table.beginPrompt(path);
+        table.beginPrefill(path);
       }
     }
     return Math.max(...counts.values());
@@ -187,7 +192,7 @@
   const table = createEngineTable({
     now: () => 0,
     log: () => {},
-    onGone: () => {},
+    onRemoved: () => {},
   });
   const slots = 134;
   const model = { ...MODEL, kvTokenBytes: 8_000, slots };
@@ -202,9 +207,9 @@
     card: "fast",
     layers: { fromLayer: 0, toLayer: 8 },
   }));
-  table.take({ type: "engines", isWhole: true, engines, gone: [] });
+  table.applyUpdate({ type: "engines", isWhole: true, engines, gone: [] });
   const half = { tokens: 67 * 40, requests: 67 };
-  table.takeLoads(Object.fromEntries(ids.map((id) => [id, half])));
+  table.updateLoads(Object.fromEntries(ids.map((id) => [id, half])));
   const path = [{ engineId: "e0", fromLayer: 0, toLayer: 8 }];
   for (let begun = 0; begun < 4; begun++) table.addWork(path, { tokens: 40 });
   const hasRoom = (maxUnreportedRequests: number | undefined) =>
--- a/src/gateway/choose_run_path.ts
+++ b/src/gateway/choose_run_path.ts
@@ -9,7 +9,7 @@
   chooseCallPath,
   type ChooseCallPathOptions,
 } from "./choose_call_path.ts";
-import { listBeginners } from "./create_run_permit.ts";
+import { listFirstUpstreams } from "./create_run_permit.ts";
 import type { Call, ServingContext } from "./types.ts";
 
 /** What the path has to avoid, and where a trial starts. */
@@ -41,14 +41,14 @@
   const { excluded, need, trialEngineId } = options;
   const { requestKey } = call;
   if (trialEngineId !== undefined) {
-    const others = listBeginners(call, context)
+    const others = listFirstUpstreams(call, context)
       .map(({ record }) => record.engineId)
       .filter((id) => id !== trialEngineId);
     const avoided = new Set([...excluded, ...others]);
     return chooseCallPath(call, context, { need, excluded: avoided });
   }
   if (context.quarantine.isSuspect(requestKey)) {
-    const usedEngineIds = context.quarantine.listTaken(requestKey);
+    const usedEngineIds = context.quarantine.listWithRecentSuspects(requestKey);
     const avoided = new Set([...excluded, ...usedEngineIds]);
     const separateChoice = chooseCallPath(call, context, {
       need,
--- a/src/gateway/create_left_runs.ts
+++ b/src/gateway/create_abandoned_runs.ts
@@ -8,7 +8,7 @@
 import type { CrashReport } from "../quarantine/index.ts";
 
 /** Runs that were abandoned recently. */
-export interface LeftRuns {
+export interface AbandonedRuns {
   note(run: CrashReport): void;
   /** Removes and returns the requests that were abandoned recently on an upstream. */
   take(engineId: string): readonly string[];
@@ -30,9 +30,9 @@
  * @example
  * abandonedRuns.note({ requestKey, engineId });
  */
-export function createLeftRuns(
+export function createAbandonedRuns(
   options: { readonly now: () => number },
-): LeftRuns {
+): AbandonedRuns {
   const { now } = options;
   let runs: (CrashReport & { readonly atMs: number })[] = [];
 
--- a/src/gateway/create_held_config.ts
+++ b/src/gateway/create_active_config.ts
@@ -19,13 +19,13 @@
   type RouteTable,
 } from "../routes/index.ts";
 
-/** Options of {@link createHeldConfig}. */
-export interface CreateHeldConfigOptions {
+/** Options of {@link createActiveConfig}. */
+export interface CreateActiveConfigOptions {
   readonly decodeConfig: DecodeConfig;
   /** Called after another configuration became active. */
   readonly onChange: (table: RouteTable) => void;
   /** Called if a change has another base: the whole configuration is needed. */
-  readonly onUnfit: () => void;
+  readonly onBaseMismatch: () => void;
   /** Monotonic time, in ms. */
   readonly now: () => number;
   readonly log: Logger;
@@ -33,17 +33,17 @@
 }
 
 /** The active configuration. */
-export interface HeldConfig {
+export interface ActiveConfig {
   /** Applies a whole configuration. */
-  take(message: LeaderMessage & { type: "config" }): void;
+  applyFull(message: LeaderMessage & { type: "config" }): void;
   /** Applies the difference between an earlier configuration and a newer one. */
-  takeChange(message: LeaderMessage & { type: "configChange" }): void;
+  applyChange(message: LeaderMessage & { type: "configChange" }): void;
   /** The route table; undefined before the first configuration. */
   getTable(): RouteTable | undefined;
   /** Active version; -1 if there is none. */
   getVersion(): number;
   /** Version that the leader may base changes on; -1 if it must send the whole. */
-  getToldVersion(): number;
+  getBaseVersion(): number;
 }
 
 /**
@@ -55,7 +55,9 @@
  * @example
  * const config = createActiveConfig(options);
  */
-export function createHeldConfig(options: CreateHeldConfigOptions): HeldConfig {
+export function createActiveConfig(
+  options: CreateActiveConfigOptions,
+): ActiveConfig {
   const { now, log, metrics } = options;
   let active:
     | { config: RouteConfig; digest: string; table: RouteTable }
@@ -81,18 +83,18 @@
   }
 
   return {
-    take({ version, packed }) {
+    applyFull({ version, packed }) {
       activate(version, () => ({
         config: options.decodeConfig(unpackDocument(packed)),
         digest: getConfigDigest(packed),
       }));
     },
-    takeChange({ version, digest, fromDigest, change }) {
+    applyChange({ version, digest, fromDigest, change }) {
       if (version <= getVersion()) return;
       if (active?.digest !== fromDigest) {
         log("configChangeUnfit", { version, held: getVersion() });
         needsWhole = true;
-        return options.onUnfit();
+        return options.onBaseMismatch();
       }
       const from = active.config;
       activate(
@@ -102,6 +104,6 @@
     },
     getTable: () => active?.table,
     getVersion,
-    getToldVersion: () => needsWhole ? -1 : getVersion(),
+    getBaseVersion: () => needsWhole ? -1 : getVersion(),
   };
 }
--- a/src/gateway/create_held_config_test.ts
+++ b/src/gateway/create_active_config_test.ts
@@ -4,7 +4,7 @@
 import { makeWireConfig } from "../../test/support/fleet.ts";
 import { getConfigDigest, packDocument } from "../fleet/index.ts";
 import { diffConfigs } from "../routes/index.ts";
-import { createHeldConfig } from "./create_held_config.ts";
+import { createActiveConfig } from "./create_active_config.ts";
 
 const write = (version: number) => JSON.stringify(makeWireConfig(version));
 
@@ -28,10 +28,10 @@
 function startActiveConfig() {
   const versions: number[] = [];
   let mismatches = 0;
-  const config = createHeldConfig({
+  const config = createActiveConfig({
     decodeConfig,
     onChange: ({ version }) => void versions.push(version),
-    onUnfit: () => {
+    onBaseMismatch: () => {
       mismatches += 1;
     },
     now: () => 0,
@@ -44,24 +44,24 @@
 test("an older configuration never replaces the active one", () => {
   const { config, versions } = startActiveConfig();
   assert.is(config.getVersion(), -1);
-  config.take(makeWhole(5));
-  config.take(makeWhole(4));
-  config.takeChange(makeChange(3, 4));
+  config.applyFull(makeWhole(5));
+  config.applyFull(makeWhole(4));
+  config.applyChange(makeChange(3, 4));
   assert.equal(versions, [5]);
-  config.takeChange(makeChange(5, 7));
+  config.applyChange(makeChange(5, 7));
   assert.equal(versions, [5, 7]);
   assert.is(config.getTable()?.version, 7);
 });
 
 test("a change with another base is ignored, and the whole is requested", () => {
   const { config, versions, getMismatches: getUnfit } = startActiveConfig();
-  config.take(makeWhole(5));
-  config.takeChange(makeChange(6, 8));
+  config.applyFull(makeWhole(5));
+  config.applyChange(makeChange(6, 8));
   assert.is(getUnfit(), 1);
   assert.is(config.getVersion(), 5);
-  assert.is(config.getToldVersion(), -1);
-  config.take(makeWhole(8));
-  assert.is(config.getToldVersion(), 8);
+  assert.is(config.getBaseVersion(), -1);
+  config.applyFull(makeWhole(8));
+  assert.is(config.getBaseVersion(), 8);
   assert.equal(versions, [5, 8]);
 });
 
--- a/src/gateway/create_try_payment.ts
+++ b/src/gateway/create_attempt_charge.ts
@@ -7,7 +7,7 @@
 /** Charges the attempts of one call. */
 export interface AttemptCharge {
   /** Charges the next attempt if needed; false if the budget is exhausted. */
-  payNext(): boolean;
+  chargeNext(): boolean;
   /** Records how the last charged attempt ended. */
   noteEnd(end: {
     /** Whether any of its bytes were sent to the upstream. */
@@ -28,11 +28,11 @@
  * @example
  * const charge = createAttemptCharge(() => budget.spend(service));
  */
-export function createTryPayment(spend: () => boolean): AttemptCharge {
+export function createAttemptCharge(spend: () => boolean): AttemptCharge {
   // The first attempt is free.
   let isCharged = true;
   return {
-    payNext() {
+    chargeNext() {
       isCharged ||= spend();
       return isCharged;
     },
--- a/src/gateway/create_try_payment_test.ts
+++ b/src/gateway/create_attempt_charge_test.ts
@@ -1,10 +1,10 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { createTryPayment } from "./create_try_payment.ts";
+import { createAttemptCharge } from "./create_attempt_charge.ts";
 
 function startCharge(retries: number) {
   let left = retries;
-  const charge = createTryPayment(() => {
+  const charge = createAttemptCharge(() => {
     if (left === 0) return false;
     left -= 1;
     return true;
@@ -14,25 +14,25 @@
 
 test("the first attempt that is sent is free, each further one costs a retry", () => {
   const { charge, getLeft } = startCharge(1);
-  assert.ok(charge.payNext());
+  assert.ok(charge.chargeNext());
   charge.noteEnd({ wasSent: true });
-  assert.ok(charge.payNext());
+  assert.ok(charge.chargeNext());
   assert.is(getLeft(), 0);
   charge.noteEnd({ wasSent: true });
-  assert.not(charge.payNext());
+  assert.not(charge.chargeNext());
 });
 
 test("attempts that reach no upstream are free, first or later", () => {
   const { charge, getLeft } = startCharge(1);
   for (let refused = 0; refused < 3; refused++) {
-    assert.ok(charge.payNext());
+    assert.ok(charge.chargeNext());
     charge.noteEnd({ wasSent: false });
   }
   assert.is(getLeft(), 1);
-  assert.ok(charge.payNext());
+  assert.ok(charge.chargeNext());
   charge.noteEnd({ wasSent: true });
   for (let refused = 0; refused < 3; refused++) {
-    assert.ok(charge.payNext());
+    assert.ok(charge.chargeNext());
     charge.noteEnd({ wasSent: false });
   }
   assert.is(getLeft(), 0);
@@ -40,12 +40,12 @@
 
 test("a call that waits for retries is charged once one is available", () => {
   let isAvailable = false;
-  const charge = createTryPayment(() => isAvailable);
-  charge.payNext();
+  const charge = createAttemptCharge(() => isAvailable);
+  charge.chargeNext();
   charge.noteEnd({ wasSent: true });
-  assert.not(charge.payNext());
+  assert.not(charge.chargeNext());
   isAvailable = true;
-  assert.ok(charge.payNext());
+  assert.ok(charge.chargeNext());
 });
 
 test.run();
--- a/src/gateway/create_call_end.ts
+++ b/src/gateway/create_call_end.ts
@@ -4,7 +4,7 @@
  * @module
  */
 
-import { answerRefusal } from "./answer_refusal.ts";
+import { sendRefusal } from "./send_refusal.ts";
 import type { Refusal, UpstreamHead } from "./protocol.ts";
 import type { Call, ServingContext } from "./types.ts";
 
@@ -77,7 +77,7 @@
       if (ended) return;
       metrics.countRefusal(refusal.reason);
       const closes = context.isLeaving();
-      answerRefusal(response, { codec, request, refusal, closes });
+      sendRefusal(response, { codec, request, refusal, closes });
       end(refusal.reason);
     },
     forwardAnswer(head, body) {
--- a/src/gateway/create_room_queue.ts
+++ b/src/gateway/create_capacity_queue.ts
@@ -17,7 +17,7 @@
 }
 
 /** Streams that wait for free capacity. */
-export interface RoomQueue {
+export interface CapacityQueue {
   isEmpty(): boolean;
   /** Expected wait, in ms, of a stream that joins now. */
   estimateWaitMs(): number;
@@ -44,17 +44,17 @@
  * @example
  * const getCapacityQueue = createCapacityQueues(rates);
  */
-export function createRoomQueues(
+export function createCapacityQueues(
   rates: Pick<
     FleetRates,
     "getEndIntervalMs" | "getOthersWaiting" | "beginWait"
   >,
-): (service: string) => RoomQueue {
-  const queues = new Map<string, RoomQueue>();
+): (service: string) => CapacityQueue {
+  const queues = new Map<string, CapacityQueue>();
   return (service) => {
     const known = queues.get(service);
     if (known) return known;
-    const queue = createRoomQueue({
+    const queue = createCapacityQueue({
       getEndIntervalMs: () => rates.getEndIntervalMs(service),
       getOthersWaiting: () => rates.getOthersWaiting(service),
       beginWait: () => rates.beginWait(service),
@@ -75,9 +75,9 @@
  * @example
  * const queue = createCapacityQueue(options);
  */
-export function createRoomQueue(
+export function createCapacityQueue(
   options: CreateCapacityQueueOptions,
-): RoomQueue {
+): CapacityQueue {
   const tickets: QueueTicket[] = [];
   const estimateWaitMs = (position: number) =>
     (position + options.getOthersWaiting()) * options.getEndIntervalMs();
--- a/src/gateway/create_room_wait.ts
+++ b/src/gateway/create_capacity_wait.ts
@@ -4,11 +4,11 @@
  * @module
  */
 
-import type { QueueTicket } from "./create_room_queue.ts";
+import type { QueueTicket } from "./create_capacity_queue.ts";
 import type { Call, ServingContext } from "./types.ts";
 
 /** The wait of a new stream for free capacity. */
-export interface RoomWait {
+export interface CapacityWait {
   /** Whether no other stream waits before it. */
   isFirst(): boolean;
   /** Whether it may wait on; if so, it has joined the queue. */
@@ -34,12 +34,12 @@
  * @example
  * const capacityWait = createCapacityWait(call, context);
  */
-export function createRoomWait(
+export function createCapacityWait(
   call: Call,
-  context: Pick<ServingContext, "getRoomQueue" | "now">,
-): RoomWait {
+  context: Pick<ServingContext, "getCapacityQueue" | "now">,
+): CapacityWait {
   const { now } = context;
-  const queue = context.getRoomQueue(call.service);
+  const queue = context.getCapacityQueue(call.service);
   const maxWaitMs = call.route.objectiveMs * MAX_WAIT_SHARE;
   let ticket: QueueTicket | undefined;
   return {
--- a/src/gateway/create_control_selector.ts
+++ b/src/gateway/create_control_selector.ts
@@ -86,7 +86,7 @@
     recordFailure(address) {
       const count = 1 + getFailures(address).count;
       const waitMs = getRetryWaitMs(count, {
-        firstMs: FIRST_RETRY_MAX_WAIT_MS,
+        baseMs: FIRST_RETRY_MAX_WAIT_MS,
         maxMs: RETRY_MAX_WAIT_MS,
         random,
       });
--- a/src/gateway/create_engine_notices.ts
+++ b/src/gateway/create_engine_notices.ts
@@ -6,7 +6,7 @@
  * @module
  */
 
-import { forgetOldest } from "../collections/index.ts";
+import { evictOldest } from "../collections/index.ts";
 import type { EngineNotice } from "../engines/index.ts";
 import type { Logger } from "../logs/index.ts";
 import type { Metrics } from "../metrics/index.ts";
@@ -14,7 +14,7 @@
 /** Notices of upstreams, by incarnation. */
 export interface EngineNotices {
   /** Records a notice that an upstream gave in a response. */
-  take(engineId: string, notice: EngineNotice): void;
+  record(engineId: string, notice: EngineNotice): void;
   /** Remaining ms of an upstream's back-off; 0 where none is in force. */
   getBackOffLeftMs(engineId: string): number;
   /**
@@ -27,12 +27,14 @@
   /** Incarnations that have announced that they are leaving. */
   listLeaving(): readonly string[];
   /** Whether an upstream may be probed now; counts the probe. */
-  takeQuestion(engineId: string): boolean;
+  acquireProbe(engineId: string): boolean;
   /**
    * Counts a request that is sent to an upstream. The function returned is called once
    * it has responded, or once it is known that it won't.
    */
-  beginSend(engineId: string): (answer: { readonly isTaken: boolean }) => void;
+  beginSend(
+    engineId: string,
+  ): (answer: { readonly isAccepted: boolean }) => void;
   /** Number of upstreams whose back-off is running. */
   countBackedOff(): number;
 }
@@ -52,15 +54,15 @@
    * How gateways return after a back-off; by default with jitter, and one request
    * first.
    */
-  readonly comeBack?: ComeBack;
+  readonly slowStart?: SlowStart;
 }
 
 /** How gateways return to an upstream after a back-off. */
-export interface ComeBack {
+export interface SlowStart {
   /** Upper bound of the random extension of a back-off, as a share of its length. */
-  readonly spreadShare: number;
+  readonly jitterShare: number;
   /** Requests that may be pending at first; each one accepted doubles the limit. */
-  readonly firstWindow: number;
+  readonly initialWindow: number;
 }
 
 /** Window from which on an upstream is no longer limited. */
@@ -79,7 +81,7 @@
  * once, 0.57 with jitter, 0.73 with one request first, 0.77 with both
  * (npm run measure -- rest).
  */
-const DEFAULT_SLOW_START: ComeBack = { spreadShare: 0.1, firstWindow: 1 };
+const DEFAULT_SLOW_START: SlowStart = { jitterShare: 0.1, initialWindow: 1 };
 
 /**
  * Ms after its end at which a back-off is dropped, whether or not requests were sent.
@@ -113,7 +115,7 @@
     random,
     log,
     metrics,
-    comeBack: slowStart = DEFAULT_SLOW_START,
+    slowStart: slowStart = DEFAULT_SLOW_START,
   } = options;
   const backOffs = new Map<string, BackOff>();
   const leaving = new Set<string>();
@@ -139,12 +141,12 @@
 
   function recordBackOff(engineId: string, backOffMs: number): void {
     deleteExpired();
-    const jitterMs = backOffMs * slowStart.spreadShare * random();
+    const jitterMs = backOffMs * slowStart.jitterShare * random();
     const backOff = getBackOff(engineId);
     if (!isRunning(backOff)) backOff.probesLeft = PROBES_PER_BACK_OFF;
     // A shorter back-off that is requested later doesn't end a longer one.
     backOff.endMs = Math.max(backOff.endMs, steadyNow() + backOffMs + jitterMs);
-    backOff.window = slowStart.firstWindow;
+    backOff.window = slowStart.initialWindow;
     metrics.count("engines.rests_asked");
     log("engineAsksForBackOff", { engineId, backOffMs });
   }
@@ -152,7 +154,7 @@
   function recordLeaving(engineId: string): void {
     if (leaving.has(engineId)) return;
     leaving.add(engineId);
-    forgetOldest(leaving, MAX_LEAVING);
+    evictOldest(leaving, MAX_LEAVING);
     log("engineSaysLeaving", { engineId });
   }
 
@@ -164,7 +166,7 @@
   }
 
   return {
-    take(engineId, { backOffMs, isLeaving }) {
+    record(engineId, { backOffMs, isLeaving }) {
       if (isLeaving) recordLeaving(engineId);
       if (backOffMs !== undefined) recordBackOff(engineId, backOffMs);
     },
@@ -179,7 +181,7 @@
     },
     isLeaving: (engineId) => leaving.has(engineId),
     listLeaving: () => [...leaving],
-    takeQuestion(engineId) {
+    acquireProbe(engineId) {
       const backOff = backOffs.get(engineId);
       if (!backOff || !isRunning(backOff)) return true;
       if (backOff.probesLeft === 0) return false;
@@ -191,7 +193,7 @@
       if (!backOff) return () => {};
       backOff.pending += 1;
       let isAnswered = false;
-      return ({ isTaken }) => {
+      return ({ isAccepted: isTaken }) => {
         if (isAnswered) return;
         isAnswered = true;
         backOff.pending -= 1;
--- a/src/gateway/create_engine_notices_test.ts
+++ b/src/gateway/create_engine_notices_test.ts
@@ -13,7 +13,7 @@
     metrics: { count: () => {} },
   });
   const backOff = (engineId: string, backOffMs: number) =>
-    notices.take(engineId, { backOffMs, isLeaving: false });
+    notices.record(engineId, { backOffMs, isLeaving: false });
   return { clock, logged, notices, backOff };
 }
 
@@ -34,7 +34,7 @@
   backOff("a", 3_000);
   clock.ms += 100;
   backOff("a", 500);
-  notices.take("a", { isLeaving: false });
+  notices.record("a", { isLeaving: false });
   assert.is(notices.getBackOffLeftMs("a"), 2_900);
 });
 
@@ -60,7 +60,7 @@
   };
   const first = sendAll();
   assert.is(first.length, 1);
-  first[0]({ isTaken: true });
+  first[0]({ isAccepted: true });
   assert.is(sendAll().length, 2);
 });
 
@@ -70,7 +70,7 @@
   clock.ms += 100;
   const end = notices.beginSend("a");
   backOff("a", 100);
-  end({ isTaken: false });
+  end({ isAccepted: false });
   clock.ms += 100;
   assert.not.ok(notices.isBackedOff("a"));
   notices.beginSend("a");
@@ -82,7 +82,7 @@
   const early = notices.beginSend("a");
   backOff("a", 100);
   clock.ms += 100;
-  early({ isTaken: true });
+  early({ isAccepted: true });
   notices.beginSend("a");
   assert.ok(notices.isBackedOff("a"));
 });
@@ -95,29 +95,29 @@
   const ends = [];
   for (let at = 0; at < 40; at++) {
     const end = notices.beginSend("a");
-    if (at % 2 === 0) end({ isTaken: true });
+    if (at % 2 === 0) end({ isAccepted: true });
     else ends.push(end);
   }
   backOff("a", 1_000);
-  ends.forEach((end) => end({ isTaken: true }));
+  ends.forEach((end) => end({ isAccepted: true }));
   assert.is(notices.getBackOffLeftMs("a"), 1_000);
 });
 
 test("a single probe is allowed during a back-off", () => {
   const { clock, notices, backOff } = makeNotices();
-  assert.ok(notices.takeQuestion("a"));
+  assert.ok(notices.acquireProbe("a"));
   backOff("a", 1_000);
-  assert.ok(notices.takeQuestion("a"));
+  assert.ok(notices.acquireProbe("a"));
   backOff("a", 1_000);
-  assert.not.ok(notices.takeQuestion("a"));
+  assert.not.ok(notices.acquireProbe("a"));
   clock.ms += 1_000;
-  assert.ok(notices.takeQuestion("a"));
+  assert.ok(notices.acquireProbe("a"));
 });
 
 test("a leaving notice stays in force, whatever the incarnation reports later", () => {
   const { notices, logged } = makeNotices();
-  notices.take("a@1", { isLeaving: true });
-  notices.take("a@1", { isLeaving: false });
+  notices.record("a@1", { isLeaving: true });
+  notices.record("a@1", { isLeaving: false });
   assert.ok(notices.isLeaving("a@1"));
   assert.not.ok(notices.isLeaving("a@2"));
   assert.equal(notices.listLeaving(), ["a@1"]);
--- a/src/gateway/create_engine_table.ts
+++ b/src/gateway/create_engine_table.ts
@@ -5,7 +5,7 @@
  * @module
  */
 
-import { forgetOldest } from "../collections/index.ts";
+import { evictOldest } from "../collections/index.ts";
 import type { EngineRecord } from "../engines/index.ts";
 import {
   type EngineLoads,
@@ -23,9 +23,9 @@
 
 /** The upstreams as a gateway knows them. */
 export interface EngineTable {
-  take(message: LeaderMessage & { type: "engines" }): void;
+  applyUpdate(message: LeaderMessage & { type: "engines" }): void;
   /** Updates the load of all gateways, as summed up by the leader. */
-  takeLoads(loads: EngineLoads): void;
+  updateLoads(loads: EngineLoads): void;
   /** Mean age, in ms, of the last loads that the leader reported. */
   getLoadsAgeMs(): number;
   /**
@@ -46,7 +46,7 @@
   /**
    * Incarnations that announced to this gateway that they leave, unknown to the leader.
    */
-  listUntoldLeaves(): readonly string[];
+  listUnreportedLeaving(): readonly string[];
   get(engineId: string): EngineView | undefined;
   /**
    * Whether an upstream has ended, as far as is known. One that left without draining
@@ -65,17 +65,17 @@
    * Counts a prompt that is being read over a path, until the function returned is
    * called.
    */
-  beginPrompt(path: readonly PathPart[]): () => void;
+  beginPrefill(path: readonly PathPart[]): () => void;
   /** Prompts of this gateway that are being read across data centres. */
   getCrossPlacePrompts(): number;
   /** Excludes an upstream for a while; for longer each time in a row. */
   suspect(engineId: string, reason: string): void;
   /** Excludes an upstream that others found lost: the leader already knows. */
-  takeLost(engineId: string): void;
+  excludeLost(engineId: string): void;
   /** Excludes an upstream for a moment: it had no free capacity. */
   noteFull(engineId: string): void;
   /** Records how slow an upstream reports itself to be; 1 where it is not slow. */
-  notePace(engineId: string, slowness: number): void;
+  noteSlowness(engineId: string, slowness: number): void;
   /** Records whether an answer succeeded. */
   noteAnswer(engineId: string, outcome: { failed: boolean }): void;
   /** Upstreams suspected since the last call. */
@@ -139,11 +139,11 @@
   options: {
     readonly now: () => number;
     readonly log: Logger;
-    readonly onGone: (engineId: string) => void;
+    readonly onRemoved: (engineId: string) => void;
     readonly notices?: TableNotices;
   },
 ): EngineTable {
-  const { now, log, onGone: onRemoved, notices = NO_NOTICES } = options;
+  const { now, log, onRemoved: onRemoved, notices = NO_NOTICES } = options;
   const engines = new Map<string, EngineView>();
   const serving = new Set<string>();
   const ended = new Set<string>();
@@ -246,16 +246,18 @@
     notices.isBackedOff(record.engineId);
 
   return {
-    take({ isWhole, engines: records, gone, serving: stillServing = [] }) {
+    applyUpdate(
+      { isWhole, engines: records, gone, serving: stillServing = [] },
+    ) {
       stillServing.forEach((engineId) => serving.add(engineId));
-      forgetOldest(serving, MAX_REMEMBERED);
+      evictOldest(serving, MAX_REMEMBERED);
       gone.forEach(remove);
       records.forEach(upsert);
       if (!isWhole) return;
       const named = new Set(records.map(({ engineId }) => engineId));
       [...engines.keys()].filter((id) => !named.has(id)).forEach(remove);
     },
-    takeLoads(loads) {
+    updateLoads(loads) {
       loadsReceivedMs = now();
       const others = subtractLoads(loads, reportedLoads);
       for (const [engineId, engine] of engines) {
@@ -279,7 +281,7 @@
       const engine = engines.get(engineId);
       return engine === undefined || isLeaving(engine);
     },
-    listUntoldLeaves: () =>
+    listUnreportedLeaving: () =>
       notices.listLeaving().filter((engineId) =>
         engines.get(engineId)?.record.isLeaving === false
       ),
@@ -288,12 +290,12 @@
       ended.has(engineId) || !engines.has(engineId) && !serving.has(engineId),
     noteEnded(engineId) {
       ended.add(engineId);
-      forgetOldest(ended, MAX_REMEMBERED);
+      evictOldest(ended, MAX_REMEMBERED);
     },
     addWork: (path, { tokens }) => addLoad(path, { tokens, requests: 1 }),
     removeWork: (path, { tokens }) =>
       addLoad(path, { tokens: -tokens, requests: -1 }),
-    beginPrompt(path) {
+    beginPrefill(path) {
       const engine = engines.get(path[0].engineId);
       const crossing = crossesPlaces(path) ? 1 : 0;
       if (engine) engine.prefillingPrompts += 1;
@@ -312,12 +314,12 @@
       suspects.add(engineId);
       exclude(engineId, reason);
     },
-    takeLost: (engineId) => exclude(engineId, "others found it lost"),
+    excludeLost: (engineId) => exclude(engineId, "others found it lost"),
     noteFull(engineId) {
       const engine = engines.get(engineId);
       if (engine) engine.fullUntilMs = now() + FULL_MS;
     },
-    notePace(engineId, slowness) {
+    noteSlowness(engineId, slowness) {
       const engine = engines.get(engineId);
       if (!engine) return;
       engine.reportedSlowness = Math.max(1, slowness);
--- a/src/gateway/create_engine_table_test.ts
+++ b/src/gateway/create_engine_table_test.ts
@@ -12,11 +12,11 @@
   const table = createEngineTable({
     now: () => clock.nowMs,
     log: () => {},
-    onGone: (engineId) => void gone.push(engineId),
+    onRemoved: (engineId) => void gone.push(engineId),
     notices,
   });
   const engines = ["e1", "e2"].map((engineId) => makeEngineRecord(engineId));
-  table.take({ type: "engines", isWhole: true, engines, gone: [] });
+  table.applyUpdate({ type: "engines", isWhole: true, engines, gone: [] });
   const choose = () =>
     chooseEngine(table.listUsable("s"), {
       place: "p",
@@ -54,10 +54,20 @@
   table.addWork([{ engineId: "e1", fromLayer: 0, toLayer: 0 }], { tokens: 9 });
   const [first] = engines;
   const moved = { ...first, isLeaving: true };
-  table.take({ type: "engines", isWhole: false, engines: [moved], gone: [] });
+  table.applyUpdate({
+    type: "engines",
+    isWhole: false,
+    engines: [moved],
+    gone: [],
+  });
   assert.equal(table.getLoads(), { e1: { tokens: 9, requests: 1 } });
   assert.is(table.listUsable("s").length, 1);
-  table.take({ type: "engines", isWhole: true, engines: [moved], gone: [] });
+  table.applyUpdate({
+    type: "engines",
+    isWhole: true,
+    engines: [moved],
+    gone: [],
+  });
   assert.equal(gone, ["e2"]);
 });
 
@@ -66,7 +76,13 @@
   assert.not.ok(table.hasEnded("e1"));
   const gone = ["e1", "e2"];
   const serving = ["e2"];
-  table.take({ type: "engines", isWhole: false, engines: [], gone, serving });
+  table.applyUpdate({
+    type: "engines",
+    isWhole: false,
+    engines: [],
+    gone,
+    serving,
+  });
   assert.ok(table.hasEnded("e1"));
   assert.not.ok(table.hasEnded("e2"));
   assert.equal(table.listUsable("s"), []);
@@ -81,13 +97,18 @@
   });
   const list = (views: readonly { record: { engineId: string } }[]) =>
     views.map(({ record }) => record.engineId).sort();
-  table.take({ type: "engines", isWhole: true, engines, gone: [] });
+  table.applyUpdate({ type: "engines", isWhole: true, engines, gone: [] });
   assert.equal(list(table.listUsable("s")), ["e2"]);
   assert.equal(list(table.listBackedOff("s")), ["e1"]);
   // A back-off is no failure, so it isn't reported.
   assert.equal(table.takeSuspects(), []);
-  table.take({ type: "engines", isWhole: false, engines: [], gone: ["e1"] });
-  table.take({ type: "engines", isWhole: false, engines, gone: [] });
+  table.applyUpdate({
+    type: "engines",
+    isWhole: false,
+    engines: [],
+    gone: ["e1"],
+  });
+  table.applyUpdate({ type: "engines", isWhole: false, engines, gone: [] });
   assert.equal(list(table.listUsable("s")), ["e2"]);
   backedOff.clear();
   assert.equal(list(table.listUsable("s")), ["e1", "e2"]);
@@ -100,22 +121,32 @@
     listLeaving: () => ["e1", "e9"],
   });
   const [first, second] = engines;
-  table.take({ type: "engines", isWhole: false, engines: [first], gone: [] });
+  table.applyUpdate({
+    type: "engines",
+    isWhole: false,
+    engines: [first],
+    gone: [],
+  });
   assert.equal(table.listUsable("s").map(({ record }) => record), [second]);
   assert.ok(table.isLeaving("e1"));
-  assert.equal(table.listUntoldLeaves(), ["e1"]);
+  assert.equal(table.listUnreportedLeaving(), ["e1"]);
   const leavingRecord = { ...first, isLeaving: true };
-  table.take({
+  table.applyUpdate({
     type: "engines",
     isWhole: false,
     engines: [leavingRecord],
     gone: [],
   });
-  assert.equal(table.listUntoldLeaves(), []);
+  assert.equal(table.listUnreportedLeaving(), []);
   // Removed and listed again: a new leader that doesn't know of the notice yet.
-  table.take({ type: "engines", isWhole: true, engines: [second], gone: [] });
-  table.take({ type: "engines", isWhole: true, engines, gone: [] });
-  assert.equal(table.listUntoldLeaves(), ["e1"]);
+  table.applyUpdate({
+    type: "engines",
+    isWhole: true,
+    engines: [second],
+    gone: [],
+  });
+  table.applyUpdate({ type: "engines", isWhole: true, engines, gone: [] });
+  assert.equal(table.listUnreportedLeaving(), ["e1"]);
 });
 
 test.run();
--- a/src/gateway/create_fleet_rates.ts
+++ b/src/gateway/create_fleet_rates.ts
@@ -19,20 +19,20 @@
 
 /** The fleet's rates. */
 export interface FleetRates {
-  noteAsked(service: string): void;
+  noteRequest(service: string): void;
   noteEnded(service: string): void;
   /** Counts a stream that waits for capacity, until the function returned is called. */
   beginWait(service: string): () => void;
   /** Takes this gateway's counts since the last call, for the report to the leader. */
-  takeOwn(): GatewayActivity;
+  takeOwnActivity(): GatewayActivity;
   /** Replaces the fleet's figures by those of a report from the leader. */
-  take(activity: FleetActivity): void;
+  update(activity: FleetActivity): void;
   /** Mean interval, in ms, between the ends of the fleet's streams. */
   getEndIntervalMs(service: string): number;
   /** Streams that wait at other gateways. */
   getOthersWaiting(service: string): number;
   /** Streams requested from the fleet per second; undefined if unknown. */
-  getAskedPerS(service: string): number | undefined;
+  getRequestsPerS(service: string): number | undefined;
 }
 
 /**
@@ -79,7 +79,7 @@
   }
 
   return {
-    noteAsked(service) {
+    noteRequest(service) {
       getOwn(service).asked += 1;
     },
     noteEnded(service) {
@@ -94,7 +94,7 @@
         isWaiting = false;
       };
     },
-    takeOwn() {
+    takeOwnActivity() {
       const entries = [...own].map(([service, counts]) => {
         const taken = { ...counts };
         counts.asked = 0;
@@ -108,7 +108,7 @@
         ),
       );
     },
-    take(activity) {
+    update(activity) {
       lastReport = activity;
       receivedMs = now();
     },
@@ -121,6 +121,6 @@
       const waiting = getFreshReport(service)?.waiting ?? 0;
       return Math.max(0, waiting - (reportedWaiting.get(service) ?? 0));
     },
-    getAskedPerS: (service) => getFreshReport(service)?.askedPerS,
+    getRequestsPerS: (service) => getFreshReport(service)?.askedPerS,
   };
 }
