--- a/src/gateway/create_fleet_rates_test.ts
+++ b/src/gateway/create_fleet_rates_test.ts
@@ -6,11 +6,11 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { createActivityTally } from "../fleet/create_activity_tally.ts";
-import { createEndRate } from "./create_end_rate.ts";
+import { createStreamEndRate } from "./create_stream_end_rate.ts";
 import { createFleetRates } from "./create_fleet_rates.ts";
-import { createReturnSchedule } from "./create_return_schedule.ts";
-import { createRoomQueues } from "./create_room_queue.ts";
-import { createRoomWait } from "./create_room_wait.ts";
+import { createRetryAfterSchedule } from "./create_retry_after_schedule.ts";
+import { createCapacityQueues } from "./create_capacity_queue.ts";
+import { createCapacityWait } from "./create_capacity_wait.ts";
 import type { Call } from "./types.ts";
 
 const GATEWAYS = 200;
@@ -36,19 +36,24 @@
   const now = () => clock.nowMs;
   const tally = createActivityTally({ now });
   const gateways = Array.from({ length: GATEWAYS }, (_, at) => {
-    const endRate = createEndRate({ now });
+    const endRate = createStreamEndRate({ now });
     const rates = createFleetRates({
       getOwnEndIntervalMs: endRate.getIntervalMs,
       getGatewayCount: () => GATEWAYS,
       now,
     });
-    return { vm: `g${at}`, endRate, rates, queues: createRoomQueues(rates) };
+    return {
+      vm: `g${at}`,
+      endRate,
+      rates,
+      queues: createCapacityQueues(rates),
+    };
   });
 
   function endStream(at: number): void {
     const { endRate, rates } = gateways[at % GATEWAYS];
     endRate.noteEnd({ tookMs: 2_000 });
-    rates.noteAsked(SERVICE);
+    rates.noteRequest(SERVICE);
     rates.noteEnded(SERVICE);
   }
 
@@ -59,10 +64,12 @@
     for (; clock.nowMs < untilMs; clock.nowMs += 1) {
       if (clock.nowMs % options.endEveryMs === 0) endStream(ended++ * 7);
       if (clock.nowMs % HEARTBEAT_MS === 0) {
-        gateways.forEach(({ vm, rates }) => tally.take(vm, rates.takeOwn()));
+        gateways.forEach(({ vm, rates }) =>
+          tally.add(vm, rates.takeOwnActivity())
+        );
       }
       if (clock.nowMs % REPORT_MS === 0) {
-        gateways.forEach(({ rates }) => rates.take(tally.get()));
+        gateways.forEach(({ rates }) => rates.update(tally.get()));
       }
     }
   }
@@ -70,7 +77,7 @@
   function wait(at: number) {
     const { queues } = gateways[at];
     const call = { ...CALL, startedMs: clock.nowMs };
-    return createRoomWait(call, { getRoomQueue: queues, now });
+    return createCapacityWait(call, { getCapacityQueue: queues, now });
   }
 
   return { clock, gateways, advance, wait };
@@ -110,7 +117,7 @@
   const { clock, gateways, advance } = startFleet();
   advance(5_000, { endEveryMs: 4 });
   const returnsMs = gateways.flatMap(({ rates }) => {
-    const schedule = createReturnSchedule({
+    const schedule = createRetryAfterSchedule({
       getEndIntervalMs: rates.getEndIntervalMs,
       getGatewayCount: () => GATEWAYS,
       now: () => clock.nowMs,
@@ -133,7 +140,7 @@
     endRate.getIntervalMs() / GATEWAYS,
   );
   assert.is(rates.getOthersWaiting(SERVICE), 0);
-  assert.is(rates.getAskedPerS(SERVICE), undefined);
+  assert.is(rates.getRequestsPerS(SERVICE), undefined);
 });
 
 test.run();
--- a/src/gateway/create_gateway_list.ts
+++ b/src/gateway/create_gateway_list.ts
@@ -9,7 +9,7 @@
 /** The known gateways. */
 export interface GatewayList {
   /** Applies a full list or a change. */
-  take(message: LeaderMessage & { type: "gateways" }): void;
+  update(message: LeaderMessage & { type: "gateways" }): void;
   /** All gateways that have a session with the leader. */
   list(): readonly GatewayRecord[];
   /** Gateways that accept callers. */
@@ -29,7 +29,7 @@
   let all: readonly GatewayRecord[] = [];
   let ready: readonly GatewayRecord[] = [];
   return {
-    take({ isWhole, gateways, gone }) {
+    update({ isWhole, gateways, gone }) {
       const next = new Map(isWhole ? [] : known);
       gone.forEach((vm) => next.delete(vm));
       for (const gateway of gateways) next.set(gateway.vm, gateway);
--- a/src/gateway/create_gateway_list_test.ts
+++ b/src/gateway/create_gateway_list_test.ts
@@ -14,11 +14,15 @@
 test("a change updates the known gateways, a whole list replaces them", () => {
   const list = createGatewayList();
   const listNames = () => list.list().map(({ vm }) => vm);
-  list.take({ ...CHANGE, gateways: [makeGateway("g1"), makeGateway("g2")] });
-  list.take({ ...CHANGE, gone: ["g1"], gateways: [makeGateway("g3", false)] });
+  list.update({ ...CHANGE, gateways: [makeGateway("g1"), makeGateway("g2")] });
+  list.update({
+    ...CHANGE,
+    gone: ["g1"],
+    gateways: [makeGateway("g3", false)],
+  });
   assert.equal(listNames(), ["g2", "g3"]);
   assert.equal(list.listReady().map(({ vm }) => vm), ["g2"]);
-  list.take({ ...CHANGE, isWhole: true, gateways: [makeGateway("g4")] });
+  list.update({ ...CHANGE, isWhole: true, gateways: [makeGateway("g4")] });
   assert.equal(listNames(), ["g4"]);
 });
 
--- a/src/gateway/create_repeat_budget.ts
+++ b/src/gateway/create_gateway_retry_budget.ts
@@ -5,7 +5,7 @@
  * @module
  */
 
-import { LOAN_MS, OWN_EXTRA_SHARE } from "../fleet/index.ts";
+import { LOAN_LIFETIME_MS, LOCAL_BUDGET_SHARE } from "../fleet/index.ts";
 
 /** The fleet's limit on retries, and the share of this gateway. */
 export interface CreateGatewayRetryBudgetOptions {
@@ -18,7 +18,7 @@
   /** Number of gateways that share the extra retries. */
   readonly getGatewayCount: () => number;
   /** Called when a retry is needed and none is left. */
-  readonly onShort?: () => void;
+  readonly onExhausted?: () => void;
   /**
    * Monotonic time, in ms, for the window. If it stops while the system is suspended,
    * fewer retries are sent, never more.
@@ -40,13 +40,13 @@
 }
 
 /** A retry budget for each service. */
-export interface RepeatBudget {
+export interface GatewayRetryBudget {
   noteRequest(service: string): void;
   /** Spends one retry; false if none is left. */
   spend(service: string): boolean;
   /** Retries to borrow from the leader, by service. */
-  getWanted(): Readonly<Record<string, number>>;
-  takeLoan(loan: RetryLoan): void;
+  getWantedLoans(): Readonly<Record<string, number>>;
+  addLoan(loan: RetryLoan): void;
 }
 
 /** Used share of the retries per request; the rest keeps the fleet below its limit. */
@@ -85,9 +85,9 @@
  * @example
  * if (!budget.spend("advisor")) return refuse();
  */
-export function createRepeatBudget(
+export function createGatewayRetryBudget(
   options: CreateGatewayRetryBudgetOptions,
-): RepeatBudget {
+): GatewayRetryBudget {
   const { ratio, extra, windowMs, now, elapsedNow = now } = options;
   const services = new Map<string, ServiceCounts>();
   const startedMs = now();
@@ -107,7 +107,7 @@
   }
 
   function getOwnRemaining({ requestsMs, retriesMs }: ServiceCounts): number {
-    const share = OWN_EXTRA_SHARE * extra /
+    const share = LOCAL_BUDGET_SHARE * extra /
       Math.max(1, options.getGatewayCount());
     const isFirst = now() - startedMs < windowMs;
     const allowed = isFirst
@@ -138,10 +138,10 @@
     noteRequest: (service) => void getCounts(service).requestsMs.push(now()),
     spend(service) {
       const isSpent = spend(service);
-      if (!isSpent) options.onShort?.();
+      if (!isSpent) options.onExhausted?.();
       return isSpent;
     },
-    getWanted() {
+    getWantedLoans() {
       const wanted = [...services.keys()].flatMap((service) => {
         const counts = getCounts(service);
         const isNeeded = now() - counts.lastNeededMs < WANT_TTL_MS;
@@ -150,8 +150,8 @@
       });
       return Object.fromEntries(wanted);
     },
-    takeLoan({ service, count, askedMs }) {
-      const untilMs = askedMs + LOAN_MS;
+    addLoan({ service, count, askedMs }) {
+      const untilMs = askedMs + LOAN_LIFETIME_MS;
       getCounts(service).loans.push({ untilMs, left: count });
     },
   };
--- a/src/gateway/create_repeat_budget_test.ts
+++ b/src/gateway/create_gateway_retry_budget_test.ts
@@ -6,8 +6,8 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { createRandomSource } from "../../proof/random_source.ts";
-import { createRepeatLender, LOAN_MS } from "../fleet/index.ts";
-import { createRepeatBudget } from "./create_repeat_budget.ts";
+import { createRetryLender, LOAN_LIFETIME_MS } from "../fleet/index.ts";
+import { createGatewayRetryBudget } from "./create_gateway_retry_budget.ts";
 
 const GATEWAYS = 200;
 const SERVICE = "model";
@@ -23,21 +23,24 @@
   const now = () => clock.nowMs;
   let leadsSinceMs = 0;
   const makeLender = () =>
-    createRepeatLender({
+    createRetryLender({
       extra: EXTRA,
       windowMs: WINDOW_MS,
-      getLeadsForMs: () => now() - leadsSinceMs,
+      getLeadershipMs: () => now() - leadsSinceMs,
       now,
     });
   const fleet = { lender: makeLender() };
-  const gateways = Array.from({ length: GATEWAYS }, () =>
-    createRepeatBudget({
-      ratio: RATIO,
-      extra: EXTRA,
-      windowMs: WINDOW_MS,
-      getGatewayCount: () => GATEWAYS,
-      now,
-    }));
+  const gateways = Array.from(
+    { length: GATEWAYS },
+    () =>
+      createGatewayRetryBudget({
+        ratio: RATIO,
+        extra: EXTRA,
+        windowMs: WINDOW_MS,
+        getGatewayCount: () => GATEWAYS,
+        now,
+      }),
+  );
 
   function changeLeader(): void {
     leadsSinceMs = now();
@@ -46,10 +49,10 @@
 
   /** Lends a gateway what it wants; the returned function delivers the loan. */
   function lend(at: number): () => void {
-    const wanted = gateways[at].getWanted()[SERVICE] ?? 0;
+    const wanted = gateways[at].getWantedLoans()[SERVICE] ?? 0;
     const askedMs = now();
     const count = fleet.lender.lend(SERVICE, wanted);
-    return () => gateways[at].takeLoan({ service: SERVICE, count, askedMs });
+    return () => gateways[at].addLoan({ service: SERVICE, count, askedMs });
   }
 
   return { clock, gateways, changeLeader, lend };
@@ -57,7 +60,7 @@
 
 test("a loan expires during a system suspend, while the window goes on", () => {
   const clock = { steadyMs: 0, suspendedMs: 0 };
-  const budget = createRepeatBudget({
+  const budget = createGatewayRetryBudget({
     ratio: 0,
     extra: 0,
     windowMs: WINDOW_MS,
@@ -66,7 +69,7 @@
     elapsedNow: () => clock.steadyMs + clock.suspendedMs,
   });
   const lend = () =>
-    budget.takeLoan({
+    budget.addLoan({
       service: SERVICE,
       count: 4,
       askedMs: clock.steadyMs + clock.suspendedMs,
@@ -101,13 +104,13 @@
   clock.nowMs = SETTLED_MS;
   const [budget] = gateways;
   budget.noteRequest(SERVICE);
-  assert.equal(budget.getWanted(), {});
+  assert.equal(budget.getWantedLoans(), {});
   while (budget.spend(SERVICE));
-  assert.ok(budget.getWanted()[SERVICE] > 0);
+  assert.ok(budget.getWantedLoans()[SERVICE] > 0);
   const loan = { service: SERVICE, count: 4, askedMs: clock.nowMs };
-  budget.takeLoan(loan);
-  assert.equal(budget.getWanted(), {});
-  clock.nowMs += LOAN_MS;
+  budget.addLoan(loan);
+  assert.equal(budget.getWantedLoans(), {});
+  clock.nowMs += LOAN_LIFETIME_MS;
   assert.not(budget.spend(SERVICE));
 });
 
@@ -118,7 +121,7 @@
   while (gateways[0].spend(SERVICE));
   lend(0)();
   assert.not(gateways[0].spend(SERVICE));
-  clock.nowMs += WINDOW_MS + LOAN_MS;
+  clock.nowMs += WINDOW_MS + LOAN_LIFETIME_MS;
   while (gateways[0].spend(SERVICE));
   lend(0)();
   assert.ok(gateways[0].spend(SERVICE));
--- a/src/gateway/create_fleet_link.ts
+++ b/src/gateway/create_leader_link.ts
@@ -26,10 +26,10 @@
   wire,
 } from "../wire/index.ts";
 import { createControlSelector } from "./create_control_selector.ts";
-import type { QuarantineTold } from "./create_quarantine.ts";
+import type { QuarantineUpdate } from "./create_quarantine.ts";
 
-/** Options of {@link createFleetLink}. */
-export interface CreateFleetLinkOptions {
+/** Options of {@link createLeaderLink}. */
+export interface CreateLeaderLinkOptions {
   /** Initial control process addresses; read again for each search. */
   readonly getSeedAddresses: () => readonly string[];
   readonly getGateway: () => GatewayRecord;
@@ -39,26 +39,26 @@
   readonly getVersion: () => number;
   readonly takeSuspects: () => readonly string[];
   /** Returns and clears the engines that probes found failed. */
-  readonly takeLost: () => readonly string[];
+  readonly takeLostEngines: () => readonly string[];
   /** Returns and clears the engines whose streams had long pauses. */
-  readonly takeSlow: () => readonly string[];
+  readonly takeSlowEngines: () => readonly string[];
   /** Upstreams that announced that they leave, if the leader may not know. */
-  readonly listLeaves: () => readonly string[];
+  readonly listUnreportedLeaving: () => readonly string[];
   /** Load of the engines caused by this gateway's requests in flight. */
   readonly getLoads: () => EngineLoads;
   /** Retries that this gateway wants to borrow, by service. */
-  readonly getRepeatsWanted: () => Readonly<Record<string, number>>;
+  readonly getWantedLoans: () => Readonly<Record<string, number>>;
   /** Returns and resets the activity of this gateway's streams. */
   readonly takeActivity: () => GatewayActivity;
   /** Pending quarantine reports and trial requests for the leader. */
-  readonly getQuarantineNews: () => QuarantineTold;
+  readonly collectQuarantineUpdate: () => QuarantineUpdate;
   /** Returns and clears the upstream rate limits not yet reported to the leader. */
   readonly takeLimitReports: () => readonly LimitReport[];
   /** Called with the state sent by each leader that accepts this gateway. */
   readonly onWelcome: (welcome: LeaderMessage & { type: "welcome" }) => void;
   readonly onMessage: (message: LeaderMessage) => void;
   /** Called when the leader confirms that it had `version` at `sentMs` or later. */
-  readonly onConfirmed: (sentMs: number, version: number) => void;
+  readonly onVersionConfirmed: (sentMs: number, version: number) => void;
   /** Monotonic time, in ms. */
   readonly now: () => number;
   /** A number in [0, 1). */
@@ -67,7 +67,7 @@
 }
 
 /** A gateway's session with the leader. */
-export interface FleetLink extends AsyncDisposable {
+export interface LeaderLink extends AsyncDisposable {
   /** Sends a heartbeat at once, for urgent reports. */
   beat(): void;
   /** Sends a heartbeat after a few ms, so that several reports share it. */
@@ -158,11 +158,11 @@
  * @example
  * await using link = createLeaderLink(options);
  */
-export function createFleetLink(options: CreateFleetLinkOptions): FleetLink {
+export function createLeaderLink(options: CreateLeaderLinkOptions): LeaderLink {
   const { now, log } = options;
   const listening = createListeningClock({
     now,
-    lookIntervalMs: CHECK_INTERVAL_MS,
+    tickIntervalMs: CHECK_INTERVAL_MS,
   });
   let controlAddresses: readonly string[] = [];
   let session: Session | undefined;
@@ -289,7 +289,7 @@
         });
         return;
       case "beatAck":
-        return options.onConfirmed(message.sentMs, message.version);
+        return options.onVersionConfirmed(message.sentMs, message.version);
       case "engines":
         from.hasEngineNumbers = true;
         return options.onMessage(message);
@@ -299,7 +299,7 @@
   }
 
   function check(): void {
-    listening.look();
+    listening.tick();
     if (!session) return search();
     if (listening.now() - session.lastReceivedMs > LEADER_TIMEOUT_MS) {
       return close(session, "silent");
@@ -342,7 +342,7 @@
     heartbeatDueMs = now() + HEARTBEAT_INTERVAL_MS;
     // Loads of engines that have no number yet are left out, and sent as a change
     // once the leader has numbered them.
-    const loads = session.numbers.keepNumbered(options.getLoads());
+    const loads = session.numbers.filterNumbered(options.getLoads());
     const serializedLoads = JSON.stringify(loads);
     const hasNewLoads = session.hasEngineNumbers &&
       serializedLoads !== session.sentLoads;
@@ -351,10 +351,10 @@
     const isNewVersion = version !== session.sentVersion;
     session.sentVersion = version;
     const activity = options.takeActivity();
-    const lost = options.takeLost();
-    const slowEngines = options.takeSlow();
-    const leaving = options.listLeaves();
-    const repeatsWanted = options.getRepeatsWanted();
+    const lost = options.takeLostEngines();
+    const slowEngines = options.takeSlowEngines();
+    const leaving = options.listUnreportedLeaving();
+    const repeatsWanted = options.getWantedLoans();
     const limits = options.takeLimitReports();
     send(session, {
       type: "beat",
@@ -369,7 +369,7 @@
       ...(limits.length > 0 ? { limits } : {}),
       ...(isEmpty(activity) ? {} : { activity }),
       ...(isEmpty(repeatsWanted) ? {} : { repeatsWanted }),
-      ...options.getQuarantineNews(),
+      ...options.collectQuarantineUpdate(),
     });
   }
 
--- a/src/gateway/create_end_check.ts
+++ b/src/gateway/create_liveness_check.ts
@@ -23,7 +23,7 @@
 }
 
 /** Checks whether upstream processes have exited. */
-export interface EndCheck {
+export interface LivenessCheck {
   /** Never rejects; concurrent checks of an upstream share one result. */
   check(upstream: UpstreamAddress): Promise<UpstreamLiveness>;
 }
@@ -52,13 +52,13 @@
  * @example
  * const liveness = await livenessCheck.check({ engineId, address });
  */
-export function createEndCheck(
+export function createLivenessCheck(
   options: {
     /** Monotonic time, in ms. */
     readonly now: () => number;
     readonly probe?: ProbeAddress;
   },
-): EndCheck {
+): LivenessCheck {
   const { now, probe = probeAddress } = options;
   const recentChecks = new Map<
     string,
--- a/src/gateway/create_end_check_test.ts
+++ b/src/gateway/create_liveness_check_test.ts
@@ -2,7 +2,7 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { findFreePorts } from "../../demo/find_free_ports.ts";
-import { createEndCheck, probeAddress } from "./create_end_check.ts";
+import { createLivenessCheck, probeAddress } from "./create_liveness_check.ts";
 
 test("an address that accepts connections is alive, one that refuses them has exited", async () => {
   const [port] = await findFreePorts(1);
@@ -19,7 +19,7 @@
 test("streams that break together share one probe", async () => {
   let nowMs = 0;
   const probed: string[] = [];
-  const checks = createEndCheck({
+  const checks = createLivenessCheck({
     now: () => nowMs,
     probe: (address) => {
       probed.push(address);
--- a/src/gateway/create_loss_news.ts
+++ b/src/gateway/create_lost_engine_reports.ts
@@ -9,7 +9,7 @@
 import { rankByRendezvous } from "../routing/index.ts";
 
 /** Dependencies of the reports. */
-export interface CreateLossNewsOptions {
+export interface CreateLostEngineReportsOptions {
   readonly vm: string;
   readonly place: string;
   /** Gateways that serve callers. */
@@ -17,15 +17,15 @@
 }
 
 /** Engines that this gateway's probes found lost. */
-export interface LossNews {
-  note(engineId: string): void;
+export interface LostEngineReports {
+  add(engineId: string): void;
   /** Takes the engines found lost since the last call, for the report to the leader. */
   take(): readonly string[];
   /**
    * Rank of this gateway in the order in which the gateways of its data centre probe an
    * engine. The order differs between engines, which spreads the probes over gateways.
    */
-  getAskerRank(engineId: string): number;
+  getProbeRank(engineId: string): number;
 }
 
 /**
@@ -37,17 +37,19 @@
  * @example
  * const losses = createLostEngineReports({ vm, place, listReady });
  */
-export function createLossNews(options: CreateLossNewsOptions): LossNews {
+export function createLostEngineReports(
+  options: CreateLostEngineReportsOptions,
+): LostEngineReports {
   const { vm, place, listReady } = options;
   let lost = new Set<string>();
   return {
-    note: (engineId) => void lost.add(engineId),
+    add: (engineId) => void lost.add(engineId),
     take() {
       const taken = [...lost];
       lost = new Set();
       return taken;
     },
-    getAskerRank(engineId) {
+    getProbeRank(engineId) {
       const samePlace = listReady().filter((gateway) =>
         gateway.place === place
       );
--- a/src/gateway/create_pause_watch.ts
+++ b/src/gateway/create_pause_tracker.ts
@@ -16,11 +16,11 @@
 }
 
 /** Tracks the pauses of all streams. */
-export interface PauseWatch {
+export interface PauseTracker {
   /** Records a pause between two events. */
   recordPause(pause: StreamPause): void;
   /** Returns the engines of streams that had a long pause since the previous call. */
-  takeSlow(): readonly string[];
+  takeSlowEngines(): readonly string[];
 }
 
 /** Share of the tolerated pause above which a pause counts as long. */
@@ -43,7 +43,7 @@
  * @example
  * createPauseTracker().recordPause({ pauseMs: 250, toleratedMs: 200, path });
  */
-export function createPauseWatch(): PauseWatch {
+export function createPauseTracker(): PauseTracker {
   let slowEngineIds = new Set<string>();
   return {
     recordPause({ pauseMs, toleratedMs, path }) {
@@ -55,7 +55,7 @@
         if (slowEngineIds.size < MAX_SLOW_ENGINES) slowEngineIds.add(engineId);
       }
     },
-    takeSlow() {
+    takeSlowEngines() {
       const taken = [...slowEngineIds];
       slowEngineIds = new Set();
       return taken;
--- a/src/gateway/create_quarantine.ts
+++ b/src/gateway/create_quarantine.ts
@@ -5,13 +5,17 @@
  * @module
  */
 
-import { forgetOldest } from "../collections/index.ts";
-import type { LeaderMessage, ToldCase, TrialWish } from "../fleet/index.ts";
+import { evictOldest } from "../collections/index.ts";
+import type {
+  LeaderMessage,
+  PublishedCase,
+  TrialRequest,
+} from "../fleet/index.ts";
 import {
   type CrashReport,
   MAX_TRIAL_MS,
   needsTrial,
-  TRIAL_MS,
+  TRIAL_START_MS,
 } from "../quarantine/index.ts";
 
 /** Whether a request may run. */
@@ -23,11 +27,11 @@
   | { readonly type: "held"; readonly leftMs: number };
 
 /** What the next heartbeat reports to the leader; empty fields are absent. */
-export interface QuarantineTold {
+export interface QuarantineUpdate {
   readonly crashes?: readonly CrashReport[];
   readonly proved?: readonly string[];
   readonly trialsEnded?: readonly string[];
-  readonly trialsWanted?: readonly TrialWish[];
+  readonly trialsWanted?: readonly TrialRequest[];
 }
 
 /** The gateway's side of the quarantine. */
@@ -38,26 +42,26 @@
   /** Records that an upstream crashed just after it had begun a request. */
   noteCrash(report: CrashReport): void;
   /** Resolves once all gateways know of the crashes, or after a short timeout. */
-  untilTold(requestKey: string): Promise<void>;
+  waitUntilReported(requestKey: string): Promise<void>;
   /** Records that an upstream ran a request without a crash. */
   noteProved(requestKey: string): void;
   /**
    * Returns the upstream where a request may begin its trial, once one is granted.
    * Until then the leader is asked for a trial on one of the given upstreams.
    */
-  takeTrial(request: TrialWish): string | undefined;
+  takeTrial(request: TrialRequest): string | undefined;
   /** Ends a trial: another attempt of the request may get the next one. */
   endTrial(requestKey: string): void;
   /** Records where a suspected request was sent. */
   noteSent(send: CrashReport): void;
   /** Upstreams where another suspected request of this gateway began recently. */
-  listTaken(requestKey: string): readonly string[];
+  listWithRecentSuspects(requestKey: string): readonly string[];
   /** Replaces all cases by those of a newly connected leader. */
-  takeWhole(cases: readonly ToldCase[]): void;
+  replaceCases(cases: readonly PublishedCase[]): void;
   /** Applies changes of cases. */
-  takeCases(message: LeaderMessage & { type: "cases" }): void;
-  takeGrant(message: LeaderMessage & { type: "trial" }): void;
-  getTold(): QuarantineTold;
+  applyCases(message: LeaderMessage & { type: "cases" }): void;
+  addTrialGrant(message: LeaderMessage & { type: "trial" }): void;
+  collectUpdate(): QuarantineUpdate;
   /** Number of suspected requests, and of those that are held back. */
   count(): { readonly suspects: number; readonly held: number };
 }
@@ -65,7 +69,7 @@
 /** What the quarantine needs from its gateway. */
 export interface CreateQuarantineOptions {
   /** Called when an update has to be sent to the leader at once. */
-  readonly onNews: () => void;
+  readonly onUpdateDue: () => void;
   /** Monotonic time, in ms. */
   readonly now: () => number;
 }
@@ -118,13 +122,13 @@
 export function createQuarantine(
   options: CreateQuarantineOptions,
 ): Quarantine {
-  const { onNews: notifyLeader, now } = options;
+  const { onUpdateDue: notifyLeader, now } = options;
   let knownCases = new Map<string, KnownCase>();
   let reports: (CrashReport & { readonly atMs: number })[] = [];
   const proofs = new Map<string, number>();
   const trialRequests = new Map<
     string,
-    TrialWish & { readonly atMs: number }
+    TrialRequest & { readonly atMs: number }
   >();
   const grants = new Map<string, { engineId: string; untilMs: number }>();
   // Concurrent attempts of one request each ask for a trial; only one gets it.
@@ -132,7 +136,7 @@
   let trialsEnded = new Set<string>();
   let recentSends: (CrashReport & { readonly atMs: number })[] = [];
 
-  function readCase({ engineIds, heldMs }: ToldCase): KnownCase {
+  function readCase({ engineIds, heldMs }: PublishedCase): KnownCase {
     return {
       engineIds: new Set(engineIds),
       heldUntilMs: heldMs === 0 ? -Infinity : now() + heldMs,
@@ -187,7 +191,7 @@
     );
   }
 
-  function listTrialRequests(): TrialWish[] {
+  function listTrialRequests(): TrialRequest[] {
     dropExpiredRequests();
     return [...trialRequests.values()]
       .map(({ requestKey, engineIds }) => ({ requestKey, engineIds }));
@@ -224,7 +228,7 @@
         .slice(-MAX_REPORTS);
       notifyLeader();
     },
-    async untilTold(requestKey) {
+    async waitUntilReported(requestKey) {
       const untilMs = now() + MAX_REPORT_WAIT_MS;
       const isPending = () =>
         listUnlisted().some((one) => one.requestKey === requestKey);
@@ -235,7 +239,7 @@
     noteProved(requestKey) {
       proofs.delete(requestKey);
       proofs.set(requestKey, now());
-      forgetOldest(proofs, MAX_PROOFS);
+      evictOldest(proofs, MAX_PROOFS);
       reports = reports.filter((one) => one.requestKey !== requestKey);
       if (knownCases.has(requestKey)) notifyLeader();
     },
@@ -265,25 +269,25 @@
       );
       recentSends = [...fresh, { requestKey, engineId, atMs: now() }];
     },
-    listTaken: (requestKey) =>
+    listWithRecentSuspects: (requestKey) =>
       recentSends
         .filter((one) =>
           one.requestKey !== requestKey && now() - one.atMs < SUSPECT_SPACING_MS
         )
         .map(({ engineId }) => engineId),
-    takeWhole(cases) {
+    replaceCases(cases) {
       knownCases = new Map();
       applyChange({ cases, cleared: [] });
     },
-    takeCases: applyChange,
-    takeGrant({ requestKey, engineId, askedMs }) {
+    applyCases: applyChange,
+    addTrialGrant({ requestKey, engineId, askedMs }) {
       // A trial request may be sent twice, and granted twice.
       if (isOnTrial(requestKey)) return;
-      grants.set(requestKey, { engineId, untilMs: askedMs + TRIAL_MS });
+      grants.set(requestKey, { engineId, untilMs: askedMs + TRIAL_START_MS });
       dropExpiredRequests();
       if (trialsEnded.has(requestKey)) notifyLeader();
     },
-    getTold() {
+    collectUpdate() {
       const crashes = listUnlisted()
         .map(({ requestKey, engineId }) => ({ requestKey, engineId }));
       const proved = [...knownCases.keys()].filter(isProved);
--- a/src/gateway/create_rate_limits.ts
+++ b/src/gateway/create_rate_limits.ts
@@ -14,7 +14,7 @@
   GrantCounts,
   LeaderMessage,
   LimitReport,
-  ToldLimit,
+  PublishedLimit,
 } from "../fleet/index.ts";
 import { takeToken, type TokenBucket } from "../limits/index.ts";
 import type { Logger } from "../logs/index.ts";
@@ -25,28 +25,28 @@
   /** Whether the grant is still valid; checked once a connection is open. */
   isValid(): boolean;
   /** Returns the grant unused: nothing was sent. */
-  giveBack(): void;
+  release(): void;
 }
 
 /** The rate limits that upstreams announce, by upstream incarnation. */
 export interface RateLimits {
   /** Applies a limit that an upstream announced in an answer. */
-  takeAnswer(engineId: string, answer: LimitAnswer): void;
+  noteAnswer(engineId: string, answer: AnnouncedLimit): void;
   /** Applies limits that the leader sent. */
-  takeTold(limits: readonly ToldLimit[]): void;
+  applyLimits(limits: readonly PublishedLimit[]): void;
   /** Applies all limits of a newly connected leader; those it lacks are reported to it. */
-  takeWhole(limits: readonly ToldLimit[]): void;
-  takeGrants(message: LeaderMessage & { type: "grants" }): void;
+  syncLimits(limits: readonly PublishedLimit[]): void;
+  applyGrants(message: LeaderMessage & { type: "grants" }): void;
   /** Limit, in requests per second from all gateways; Infinity if there is none. */
   getLimitPerS(engineId: string): number;
   /** Ms until a grant may be available; 0 if one is held, or may be requested now. */
   getWaitMs(engineId: string): number;
   /** Whether it is unlimited, or a grant is held or may be requested now. */
-  hasSendLeft(engineId: string): boolean;
+  maySend(engineId: string): boolean;
   /** Takes a grant to send a request; undefined if one has to be requested first. */
-  take(engineId: string): SendGrant | undefined;
+  takeGrant(engineId: string): SendGrant | undefined;
   /** Requests a grant from the leader; resolves on its answer or on time-out. */
-  request(engineId: string): Promise<void>;
+  requestGrant(engineId: string): Promise<void>;
   /** Returns the limits not yet reported to the leader, and marks them as reported. */
   takeReports(): readonly LimitReport[];
   /** Incarnations of upstreams that are limited. */
@@ -54,7 +54,7 @@
 }
 
 /** The limit that an upstream announces in an answer. */
-export interface LimitAnswer {
+export interface AnnouncedLimit {
   /** Requests per second; Infinity if it announces no limit. */
   readonly limitPerS: number;
   /**
@@ -69,7 +69,7 @@
   /** Requests grants from the leader; false if there is no session. */
   readonly requestGrants: (counts: GrantCounts, askedMs: number) => boolean;
   /** Called when a limit has to be reported to the leader. */
-  readonly onNews: () => void;
+  readonly onReportDue: () => void;
   /** Number of gateways that share a limit while the leader can't be reached. */
   readonly getGatewayCount: () => number;
   /** Monotonic time, in ms, that includes system suspends. */
@@ -176,7 +176,7 @@
     wakeWaiters(limit);
   }
 
-  function updateLimits(updates: readonly ToldLimit[]): void {
+  function updateLimits(updates: readonly PublishedLimit[]): void {
     for (const { engineId, limitPerS, version } of updates) {
       if (limitPerS === null) remove(engineId);
       else setLimit(engineId, { limitPerS, version });
@@ -185,7 +185,7 @@
 
   function report(update: LimitReport): void {
     reports.set(update.engineId, update);
-    options.onNews();
+    options.onReportDue();
   }
 
   function wakeWaiters(limit: Limit): void {
@@ -202,7 +202,7 @@
   function makeGrant(engineId: string, untilMs: number): SendGrant {
     return {
       isValid: () => now() < untilMs,
-      giveBack: () => void limits.get(engineId)?.grantsUntilMs.push(untilMs),
+      release: () => void limits.get(engineId)?.grantsUntilMs.push(untilMs),
     };
   }
 
@@ -245,7 +245,7 @@
   }
 
   return {
-    takeAnswer(engineId, { limitPerS, sentMs }) {
+    noteAnswer(engineId, { limitPerS, sentMs }) {
       const known = limits.get(engineId);
       const knownPerS = getLimitPerS(engineId);
       if (limitPerS === knownPerS) return;
@@ -263,8 +263,8 @@
         knownVersion: known.version,
       });
     },
-    takeTold: updateLimits,
-    takeWhole(leaderLimits) {
+    applyLimits: updateLimits,
+    syncLimits(leaderLimits) {
       leaderBackOffUntilMs = -Infinity;
       const leaderIds = new Set(leaderLimits.map(({ engineId }) => engineId));
       for (const [engineId, limit] of limits) {
@@ -276,7 +276,7 @@
       }
       updateLimits(leaderLimits);
     },
-    takeGrants({ grants, askedMs }) {
+    applyGrants({ grants, askedMs }) {
       pendingRequests.delete(askedMs);
       for (const { engineId, count, retryAfterMs } of grants) {
         const limit = limits.get(engineId);
@@ -292,17 +292,17 @@
     },
     getLimitPerS,
     getWaitMs,
-    hasSendLeft: (engineId) => getWaitMs(engineId) === 0,
-    take(engineId) {
+    maySend: (engineId) => getWaitMs(engineId) === 0,
+    takeGrant(engineId) {
       const limit = limits.get(engineId);
       if (!limit) {
         const isValid = () => !limits.has(engineId);
-        return { isValid, giveBack: () => {} };
+        return { isValid, release: () => {} };
       }
       const untilMs = takeValidGrant(limit);
       return untilMs === undefined ? undefined : makeGrant(engineId, untilMs);
     },
-    request(engineId) {
+    requestGrant(engineId) {
       const limit = limits.get(engineId);
       if (!limit) return Promise.resolve();
       metrics.count("grants.requested");
--- a/src/gateway/create_rate_limits_test.ts
+++ b/src/gateway/create_rate_limits_test.ts
@@ -18,9 +18,9 @@
     now: () => clock.ms,
   });
   const publish = (limitPerS: number | null, version = 1) =>
-    limits.takeTold([{ engineId: "a", limitPerS, version }]);
+    limits.applyLimits([{ engineId: "a", limitPerS, version }]);
   const answer = (count: number, retryAfterMs = 0) =>
-    limits.takeGrants({
+    limits.applyGrants({
       type: "grants",
       grants: [{ engineId: "a", count, retryAfterMs }],
       askedMs: asked[asked.length - 1].askedMs,
@@ -33,56 +33,56 @@
 
 test("an unlimited upstream needs no grant; a new limit invalidates earlier permissions", () => {
   const { limits, publish } = makeLimits();
-  const grant = limits.take("a");
+  const grant = limits.takeGrant("a");
   assert.ok(grant?.isValid());
   assert.is(limits.getWaitMs("a"), 0);
   publish(4);
   assert.not.ok(grant?.isValid());
-  assert.is(limits.take("a"), undefined);
+  assert.is(limits.takeGrant("a"), undefined);
 });
 
 test("requests of one event loop turn share a message, and each grant is for one request", async () => {
   const { asked, limits, publish, answer } = makeLimits();
   publish(4);
-  const done = [limits.request("a"), limits.request("a")];
+  const done = [limits.requestGrant("a"), limits.requestGrant("a")];
   await untilSent();
   assert.equal(asked.map(({ counts }) => counts), [{ a: 2 }]);
   answer(1, 250);
   await Promise.all(done);
-  assert.ok(limits.take("a"));
-  assert.is(limits.take("a"), undefined);
+  assert.ok(limits.takeGrant("a"));
+  assert.is(limits.takeGrant("a"), undefined);
   assert.is(limits.getWaitMs("a"), 250);
 });
 
 test("the expiry of a grant counts from the time of its request", async () => {
   const { clock, limits, publish, answer } = makeLimits();
   publish(4);
-  void limits.request("a");
+  void limits.requestGrant("a");
   await untilSent();
   clock.ms += 499;
   answer(2);
-  const grant = limits.take("a");
+  const grant = limits.takeGrant("a");
   assert.ok(grant?.isValid());
   clock.ms += 1;
   assert.not.ok(grant?.isValid());
-  assert.is(limits.take("a"), undefined);
+  assert.is(limits.takeGrant("a"), undefined);
 });
 
 test("a released grant serves another request", async () => {
   const { limits, publish, answer } = makeLimits();
   publish(4);
-  void limits.request("a");
+  void limits.requestGrant("a");
   await untilSent();
   answer(1);
-  limits.take("a")?.giveBack();
-  assert.ok(limits.take("a"));
-  assert.is(limits.take("a"), undefined);
+  limits.takeGrant("a")?.release();
+  assert.ok(limits.takeGrant("a"));
+  assert.is(limits.takeGrant("a"), undefined);
 });
 
 test("a leader that does not answer is not asked again for a while", async () => {
   const { clock, limits, publish } = makeLimits();
   publish(4);
-  await limits.request("a");
+  await limits.requestGrant("a");
   assert.is(limits.getWaitMs("a"), 300);
   clock.ms += 300;
   assert.is(limits.getWaitMs("a"), 0);
@@ -94,8 +94,8 @@
   const takenMs: number[] = [];
   for (; clock.ms < 51_000; clock.ms += 100) {
     if (limits.getWaitMs("a") > 0) continue;
-    await limits.request("a");
-    if (limits.take("a")) takenMs.push(clock.ms);
+    await limits.requestGrant("a");
+    if (limits.takeGrant("a")) takenMs.push(clock.ms);
   }
   // Half of 4 per second, divided among ten gateways: one every 5 s.
   assert.ok(takenMs[0] >= 6_000, takenMs.join());
@@ -104,15 +104,15 @@
 
 test("a lower limit applies at once, a higher one only once the leader sends it", () => {
   const { clock, limits, publish } = makeLimits();
-  limits.takeAnswer("a", { limitPerS: 4 });
+  limits.noteAnswer("a", { limitPerS: 4 });
   assert.is(limits.getLimitPerS("a"), 4);
   assert.equal(limits.takeReports(), [{ engineId: "a", limitPerS: 4 }]);
   // The leader has not sent a version of the limit yet.
-  limits.takeAnswer("a", { limitPerS: 9, sentMs: clock.ms + 1 });
+  limits.noteAnswer("a", { limitPerS: 9, sentMs: clock.ms + 1 });
   assert.equal(limits.takeReports(), []);
   publish(4, 7);
   clock.ms += 10;
-  limits.takeAnswer("a", { limitPerS: 9, sentMs: clock.ms });
+  limits.noteAnswer("a", { limitPerS: 9, sentMs: clock.ms });
   assert.is(limits.getLimitPerS("a"), 4);
   assert.equal(limits.takeReports(), [
     { engineId: "a", limitPerS: 9, knownVersion: 7 },
@@ -122,10 +122,10 @@
 test("an answer to a request sent before the limit was known does not end the limit", () => {
   const { clock, limits, publish } = makeLimits();
   publish(4, 7);
-  limits.takeAnswer("a", { limitPerS: Infinity });
-  limits.takeAnswer("a", { limitPerS: Infinity, sentMs: clock.ms });
+  limits.noteAnswer("a", { limitPerS: Infinity });
+  limits.noteAnswer("a", { limitPerS: Infinity, sentMs: clock.ms });
   assert.equal(limits.takeReports(), []);
-  limits.takeAnswer("a", { limitPerS: Infinity, sentMs: clock.ms + 1 });
+  limits.noteAnswer("a", { limitPerS: Infinity, sentMs: clock.ms + 1 });
   assert.equal(limits.takeReports(), [
     { engineId: "a", limitPerS: null, knownVersion: 7 },
   ]);
@@ -137,16 +137,16 @@
 test("a call that waits for a grant goes on when the limit ends", async () => {
   const { limits, publish } = makeLimits();
   publish(4);
-  const waiting = limits.request("a");
+  const waiting = limits.requestGrant("a");
   publish(null, 2);
   await waiting;
-  assert.ok(limits.take("a"));
+  assert.ok(limits.takeGrant("a"));
 });
 
 test("limits that a new leader lacks are reported to it, and its own limits apply", () => {
   const { limits, publish } = makeLimits();
   publish(4, 7);
-  limits.takeWhole([{ engineId: "b", limitPerS: 2, version: 50 }]);
+  limits.syncLimits([{ engineId: "b", limitPerS: 2, version: 50 }]);
   assert.equal(limits.takeReports(), [{ engineId: "a", limitPerS: 4 }]);
   assert.is(limits.getLimitPerS("b"), 2);
   assert.is(limits.getLimitPerS("a"), 4);
--- a/src/gateway/create_request_handler.ts
+++ b/src/gateway/create_request_handler.ts
@@ -6,7 +6,7 @@
 
 import type { ServerResponse } from "node:http";
 import { setTimeout as sleep } from "node:timers/promises";
-import { answerRefusal } from "./answer_refusal.ts";
+import { sendRefusal } from "./send_refusal.ts";
 import type { ReceivedRequest } from "./create_caller_server.ts";
 import type { ConfigLease } from "./create_config_lease.ts";
 import { decideCall } from "./decide_call.ts";
@@ -119,7 +119,7 @@
       table: context.getTable(),
       knowsEngines: options.knowsEngines(),
       isTrusted: lease.isValid(),
-      isLastCall: options.isDraining(),
+      isDraining: options.isDraining(),
       random: context.random(),
     });
     if (decision.type === "refuse") {
@@ -144,7 +144,7 @@
       deadlineMs,
     };
     if (route.isStream) {
-      context.rates.noteAsked(service);
+      context.rates.noteRequest(service);
       await serveStreamCall(call, context);
     } else await servePlainCall(call, context);
   }
@@ -153,7 +153,7 @@
   // them. So a stream starts only if the longest recent one would fit into the grace.
   function canEndInGrace(): boolean {
     return !context.isLeaving() ||
-      context.endRate.getLongestMs() < context.getGraceLeftMs();
+      context.endRate.getMaxDurationMs() < context.getGraceLeftMs();
   }
 
   async function waitUntilStarted(buffered: BufferedRequest): Promise<void> {
@@ -180,7 +180,7 @@
       leaseLeftMs: Math.round(lease.getLeftMs()),
     });
     const closes = context.isLeaving();
-    answerRefusal(response, { codec, request, refusal, closes });
+    sendRefusal(response, { codec, request, refusal, closes });
   }
 
   return { handle, getInFlight: () => inFlight };
--- a/src/gateway/create_usual_times.ts
+++ b/src/gateway/create_response_times.ts
@@ -5,10 +5,10 @@
  */
 
 /** Mean times that the answers of services take. */
-export interface UsualTimes {
+export interface ResponseTimes {
   noteAnswer(service: string, answer: { readonly tookMs: number }): void;
   /** Smoothed time of an answer, in ms; undefined before the first one. */
-  getMs(service: string): number | undefined;
+  getMeanMs(service: string): number | undefined;
 }
 
 /** Weight of the newest answer in the smoothed time. */
@@ -22,13 +22,13 @@
  * @example
  * const responseTimes = createResponseTimes();
  */
-export function createUsualTimes(): UsualTimes {
+export function createResponseTimes(): ResponseTimes {
   const timesMs = new Map<string, number>();
   return {
     noteAnswer(service, { tookMs }) {
       const knownMs = timesMs.get(service) ?? tookMs;
       timesMs.set(service, knownMs + ANSWER_WEIGHT * (tookMs - knownMs));
     },
-    getMs: (service) => timesMs.get(service),
+    getMeanMs: (service) => timesMs.get(service),
   };
 }
--- a/src/gateway/create_later_refusals.ts
+++ b/src/gateway/create_retry_after_refusals.ts
@@ -8,7 +8,7 @@
 import type { Call, ServingContext } from "./types.ts";
 
 /** Refuses a call that has not run, and says when to retry. */
-export interface LaterRefusals {
+export interface RetryAfterRefusals {
   /** For calls whose upstreams are backed off. */
   refuseForBackOff(retryAfterMs: number): void;
   /** For calls whose upstreams allow no send for leftMs, due to rate limits. */
@@ -32,11 +32,14 @@
  * @example
  * const { refuseForLimit } = createRetryAfterRefusals(call, context, options);
  */
-export function createLaterRefusals(
+export function createRetryAfterRefusals(
   { request, service }: Call,
-  { limitReturns, log }: Pick<ServingContext, "limitReturns" | "log">,
+  { limitRetryAfterSchedule: limitReturns, log }: Pick<
+    ServingContext,
+    "limitRetryAfterSchedule" | "log"
+  >,
   options: CreateRetryAfterRefusalsOptions,
-): LaterRefusals {
+): RetryAfterRefusals {
   const { callEnd, getProgress } = options;
 
   function refuse(reason: "resting" | "limited", retryAfterMs: number): void {
--- a/src/gateway/create_later_refusals_test.ts
+++ b/src/gateway/create_retry_after_refusals_test.ts
@@ -1,7 +1,7 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import type { CallEnd } from "./create_call_end.ts";
-import { createLaterRefusals } from "./create_later_refusals.ts";
+import { createRetryAfterRefusals } from "./create_retry_after_refusals.ts";
 import type { Call, ServingContext } from "./types.ts";
 
 const CALL = { request: { requestId: "r" }, service: "s" } as Call;
@@ -10,10 +10,10 @@
   const refused: Parameters<CallEnd["refuse"]>[0][] = [];
   const logged: object[] = [];
   const context = {
-    limitReturns: { getWaitMs: () => slotMs },
+    limitRetryAfterSchedule: { getWaitMs: () => slotMs },
     log: (_name: string, fields: object) => void logged.push(fields),
   } as unknown as ServingContext;
-  const refusals = createLaterRefusals(CALL, context, {
+  const refusals = createRetryAfterRefusals(CALL, context, {
     callEnd: {
       refuse: (refusal) => void refused.push(refusal),
     } as CallEnd,
--- a/src/gateway/create_return_schedule.ts
+++ b/src/gateway/create_retry_after_schedule.ts
@@ -19,7 +19,7 @@
 }
 
 /** Schedules the retries of refused callers. */
-export interface ReturnSchedule {
+export interface RetryAfterSchedule {
   /** Takes the next slot of a service; returns the time until then, in ms. */
   getWaitMs(service: string): number;
 }
@@ -54,9 +54,9 @@
  * @example
  * const retries = createRetryAfterSchedule(options);
  */
-export function createReturnSchedule(
+export function createRetryAfterSchedule(
   options: CreateRetryAfterScheduleOptions,
-): ReturnSchedule {
+): RetryAfterSchedule {
   const { now, random, leastWaitMs = MIN_WAIT_MS } = options;
   const slotsMs = new Map<string, number>();
 
--- a/src/gateway/create_run_watch.ts
+++ b/src/gateway/create_run_monitor.ts
@@ -11,7 +11,7 @@
 import type {
   AddressedPart,
   EngineControl,
-  EnginePresence,
+  EngineLiveness,
 } from "./protocol.ts";
 
 /** A run of a stream, as the monitor sees it. */
@@ -39,32 +39,32 @@
 /** An engine and the address at which it is probed. */
 type EngineAddress = Pick<AddressedPart, "engineId" | "address">;
 
-/** Options of {@link createRunWatch}. */
-export interface CreateRunWatchOptions {
-  readonly engineControl: Pick<EngineControl, "checkPresence">;
+/** Options of {@link createRunMonitor}. */
+export interface CreateRunMonitorOptions {
+  readonly engineControl: Pick<EngineControl, "checkLiveness">;
   /** Called with the slowdown factor that an engine reports when it is probed. */
   readonly onPace: (engineId: string, pace: number) => void;
   /** Called with the status notice in an engine's answer. */
   readonly onNotice?: (engineId: string, notice: EngineNotice) => void;
   /** Whether an engine may be probed now; by default, any may. */
-  readonly mayAsk?: (engineId: string) => boolean;
+  readonly mayProbe?: (engineId: string) => boolean;
   /** Called when an engine is found to have failed. */
-  readonly onLost: (engineId: string, reason: string) => void;
+  readonly onEngineFailed: (engineId: string, reason: string) => void;
   /**
    * Zero-based rank of this gateway among those of its data centre in probing for
    * the streams that start at an engine; 0 by default.
    */
-  readonly getAskerRank?: (firstEngineId: string) => number;
+  readonly getProbeRank?: (firstEngineId: string) => number;
   /** Monotonic time, in ms. */
   readonly now: () => number;
 }
 
 /** Monitors running streams for failed engines. */
-export interface RunWatch {
+export interface RunMonitor {
   /** Monitors a run until the returned function is called. */
   add(run: MonitoredRun): () => void;
   /** Handles engines that other gateways found failed: silent runs leave them. */
-  takeLost(engineIds: readonly string[]): void;
+  handleFailureReport(engineIds: readonly string[]): void;
   /**
    * Probes an engine that another engine named as faulty. If it does not answer, it
    * has failed: an engine that is merely full or leaving does answer.
@@ -133,9 +133,9 @@
  * @example
  * const monitor = createRunMonitor({ engineControl, onPace, onEngineFailed, now });
  */
-export function createRunWatch(options: CreateRunWatchOptions): RunWatch {
-  const { engineControl, now, getAskerRank: getRank = () => 0 } = options;
-  const { onNotice = () => {}, mayAsk: canProbe = () => true } = options;
+export function createRunMonitor(options: CreateRunMonitorOptions): RunMonitor {
+  const { engineControl, now, getProbeRank: getRank = () => 0 } = options;
+  const { onNotice = () => {}, mayProbe: canProbe = () => true } = options;
   const runs = new Set<MonitoredRun>();
   const probedAtMs = new Map<string, number>();
   const failedAtMs = new Map<string, number>();
@@ -291,13 +291,13 @@
   // if this process was stalled while it waited for the answer.
   async function probePresence(
     { engineId, address }: EngineAddress,
-  ): Promise<EnginePresence["state"] | undefined> {
+  ): Promise<EngineLiveness["state"] | undefined> {
     if (now() - (probedAtMs.get(engineId) ?? -Infinity) < PROBE_TTL_MS) return;
     if (!canProbe(engineId)) return;
     probedAtMs.set(engineId, now());
     const answerDueMs = now() + PROBE_TIMEOUT_MS;
     const presence = await engineControl
-      .checkPresence(address, {
+      .checkLiveness(address, {
         timeoutMs: PROBE_TIMEOUT_MS,
         onNotice: (notice) => onNotice(engineId, notice),
       });
@@ -316,14 +316,14 @@
     if (state === "absent") markFailed(engineId, REFUSES_CONNECTIONS);
     if (state !== "silent") return;
     failedAtMs.set(engineId, now());
-    options.onLost(
+    options.onEngineFailed(
       engineId,
       "named as faulty by another engine and does not answer",
     );
   }
 
   function markFailed(engineId: string, reason: string): void {
-    options.onLost(engineId, reason);
+    options.onEngineFailed(engineId, reason);
     for (const run of [...runs]) {
       const isAffected = run.getPath().some((part) =>
         part.engineId === engineId
@@ -346,7 +346,7 @@
         thresholdFactors.clear();
       };
     },
-    takeLost(engineIds) {
+    handleFailureReport(engineIds) {
       for (const engineId of engineIds) failedAtMs.set(engineId, now());
       if (!timer) return;
       clearTimeout(timer);
--- a/src/gateway/create_run_watch_test.ts
+++ b/src/gateway/create_run_monitor_test.ts
@@ -1,13 +1,13 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { createRunWatch, type MonitoredRun } from "./create_run_watch.ts";
+import { createRunMonitor, type MonitoredRun } from "./create_run_monitor.ts";
 import {
   groupRuns,
   SHARED_SILENCE_MS,
   SINGLE_SILENCE_MS,
 } from "./group_runs.ts";
-import type { EnginePresence } from "./protocol.ts";
+import type { EngineLiveness } from "./protocol.ts";
 
 interface FakeRun extends MonitoredRun {
   readonly left: string[];
@@ -36,27 +36,27 @@
   return run;
 }
 
-const PRESENT: EnginePresence = { state: "present", pace: 1 };
+const PRESENT: EngineLiveness = { state: "present", pace: 1 };
 
 function startTestWatch(
-  presence: Readonly<Record<string, EnginePresence>>,
+  presence: Readonly<Record<string, EngineLiveness>>,
   options: {
-    readonly getAskerRank?: () => number;
-    readonly mayAsk?: (engineId: string) => boolean;
+    readonly getProbeRank?: () => number;
+    readonly mayProbe?: (engineId: string) => boolean;
   } = {},
 ) {
   const asked: string[] = [];
   const lost: string[] = [];
   const paces = new Map<string, number>();
-  const watch = createRunWatch({
+  const watch = createRunMonitor({
     engineControl: {
-      checkPresence(address) {
+      checkLiveness(address) {
         asked.push(address);
         return Promise.resolve(presence[address] ?? PRESENT);
       },
     },
     onPace: (engineId, pace) => void paces.set(engineId, pace),
-    onLost: (engineId) => void lost.push(engineId),
+    onEngineFailed: (engineId) => void lost.push(engineId),
     ...options,
     now: () => performance.now(),
   });
@@ -100,7 +100,7 @@
   const { watch, asked, lost } = startTestWatch({
     a: { state: "silent" },
     b: { state: "silent" },
-  }, { mayAsk: (engineId) => engineId !== "a" });
+  }, { mayProbe: (engineId) => engineId !== "a" });
   const remove = watch.add(makeRun(["a", "b"], 200));
   watch.checkEngine({ engineId: "a", address: "a" });
   await waitForProbe(asked);
@@ -200,7 +200,7 @@
 
 test("a gateway with a later probe rank probes only after a delay", async () => {
   const silenceMs = SINGLE_SILENCE_MS + 20;
-  const delayed = startTestWatch({}, { getAskerRank: () => 7 });
+  const delayed = startTestWatch({}, { getProbeRank: () => 7 });
   const run = makeRun(["a"], silenceMs);
   const remove = delayed.watch.add(run);
   await sleep(150);
@@ -221,11 +221,11 @@
 });
 
 test("silent runs leave engines that other gateways found failed, without a probe", async () => {
-  const { watch, asked } = startTestWatch({}, { getAskerRank: () => 30 });
+  const { watch, asked } = startTestWatch({}, { getProbeRank: () => 30 });
   const silent = makeRun(["a", "b"], SINGLE_SILENCE_MS + 5);
   const unaffected = makeRun(["c", "b"], 5);
   const removals = [silent, unaffected].map(watch.add);
-  watch.takeLost(["b"]);
+  watch.handleFailureReport(["b"]);
   assert.equal(silent.left, ["b"]);
   assert.equal(unaffected.left, []);
   // The other run falls silent a little later.
--- a/src/gateway/create_run_permit.ts
+++ b/src/gateway/create_run_permit.ts
@@ -18,10 +18,10 @@
   }
   /** A trial has been requested: check again after PERMIT_POLL_MS. */
   | { readonly type: "wait" }
-  | HeldAnswer;
+  | HeldDecision;
 
 /** The call is held back, and may be retried later. */
-export interface HeldAnswer {
+export interface HeldDecision {
   readonly type: "held";
   /** Ms until it may be retried. */
   readonly leftMs: number;
@@ -31,7 +31,7 @@
 
 /** Decides on each send of one call. */
 export interface RunPermit {
-  ask(options: {
+  request(options: {
     /** Upstreams that failed the call. */
     readonly excluded: ReadonlySet<string>;
   }): PermitDecision;
@@ -71,9 +71,9 @@
   let waitingSinceMs: number | undefined;
 
   function requestTrial(excluded: ReadonlySet<string>): PermitDecision {
-    const engineIds = listBeginners(call, context)
+    const engineIds = listFirstUpstreams(call, context)
       .map(({ record }) => record.engineId)
-      .filter((id) => !excluded.has(id) && rateLimits.hasSendLeft(id));
+      .filter((id) => !excluded.has(id) && rateLimits.maySend(id));
     // The upstream may have departed while the call waited for capacity or a retry.
     if (trialEngineId !== undefined && !engineIds.includes(trialEngineId)) {
       endTrial();
@@ -96,7 +96,7 @@
   }
 
   return {
-    ask({ excluded }) {
+    request({ excluded }) {
       const verdict = quarantine.judge(requestKey);
       if (verdict.type === "held") return { ...verdict, reason: "held_back" };
       return verdict.type === "trial" ? requestTrial(excluded) : { type: "go" };
@@ -122,7 +122,7 @@
  * @example
  * const [first] = listFirstUpstreams(call, context);
  */
-export function listBeginners(
+export function listFirstUpstreams(
   call: Call,
   context: Pick<ServingContext, "engines" | "getTable">,
 ): EngineView[] {
@@ -145,12 +145,12 @@
  * @example
  * refuseHeldCall(call, context, { callEnd, held, hasRun: runs > 0 });
  */
-export function holdBack(
+export function refuseHeldCall(
   call: Call,
   context: Pick<ServingContext, "log" | "random">,
   options: {
     readonly callEnd: CallEnd;
-    readonly held: HeldAnswer;
+    readonly held: HeldDecision;
     readonly hasRun: boolean;
   },
 ): void {
--- a/src/gateway/create_run_permit_test.ts
+++ b/src/gateway/create_run_permit_test.ts
@@ -36,9 +36,15 @@
   const usable = ["a", "b"];
   const { permit, requested, ended } = makePermit(usable);
   const excluded = new Set<string>();
-  assert.equal(permit.ask({ excluded }), { type: "go", trialEngineId: "a" });
+  assert.equal(permit.request({ excluded }), {
+    type: "go",
+    trialEngineId: "a",
+  });
   usable.shift();
-  assert.equal(permit.ask({ excluded }), { type: "go", trialEngineId: "b" });
+  assert.equal(permit.request({ excluded }), {
+    type: "go",
+    trialEngineId: "b",
+  });
   assert.equal(requested, [["a", "b"], ["b"]]);
   assert.equal(ended, ["k"]);
 });
@@ -46,8 +52,8 @@
 test("a trial whose upstream is still usable is not requested again", () => {
   const { permit, requested } = makePermit(["a"]);
   const excluded = new Set<string>();
-  permit.ask({ excluded });
-  permit.ask({ excluded });
+  permit.request({ excluded });
+  permit.request({ excluded });
   assert.is(requested.length, 1);
 });
 
--- a/src/gateway/create_run_record.ts
+++ b/src/gateway/create_run_record.ts
@@ -4,7 +4,10 @@
  * @module
  */
 
-import type { EndCheck, UpstreamAddress } from "./create_end_check.ts";
+import type {
+  LivenessCheck,
+  UpstreamAddress,
+} from "./create_liveness_check.ts";
 import type { EngineTable } from "./create_engine_table.ts";
 
 /** The limit on a call's upstreams, and how crashes are detected. */
@@ -12,7 +15,7 @@
   /** Number of upstreams on which the call may run. */
   readonly maxAttempts: number;
   readonly engines: Pick<EngineTable, "get" | "hasEnded" | "noteEnded">;
-  readonly endCheck: EndCheck;
+  readonly livenessCheck: LivenessCheck;
 }
 
 /** An upstream on which a call ran, for a log line. */
@@ -32,7 +35,7 @@
    */
   mayRunElsewhere(): boolean;
   /** Checks which of the upstreams have crashed; never rejects. */
-  checkEnds(): Promise<void>;
+  detectCrashes(): Promise<void>;
   describe(): readonly DescribedRun[];
 }
 
@@ -46,7 +49,7 @@
  * const runRecord = createRunRecord({ maxAttempts, engines, livenessCheck });
  */
 export function createRunRecord(options: CreateRunRecordOptions): RunRecord {
-  const { maxAttempts, engines, endCheck: upstreamCheck } = options;
+  const { maxAttempts, engines, livenessCheck: upstreamCheck } = options;
   const ranOn = new Map<string, UpstreamAddress>();
 
   function listPossiblyAlive(): UpstreamAddress[] {
@@ -64,7 +67,7 @@
       ranOn.set(upstream.engineId, upstream);
     },
     mayRunElsewhere: () => listPossiblyAlive().length < maxAttempts,
-    async checkEnds() {
+    async detectCrashes() {
       await Promise.all(listPossiblyAlive().map(checkLiveness));
     },
     describe: () =>
--- a/src/gateway/create_run_record_test.ts
+++ b/src/gateway/create_run_record_test.ts
@@ -1,6 +1,6 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import type { UpstreamLiveness } from "./create_end_check.ts";
+import type { UpstreamLiveness } from "./create_liveness_check.ts";
 import { createRunRecord } from "./create_run_record.ts";
 
 function makeRecord(liveness: Readonly<Record<string, UpstreamLiveness>>) {
@@ -12,7 +12,7 @@
       hasEnded: (engineId) => ended.has(engineId),
       noteEnded: (engineId) => void ended.add(engineId),
     },
-    endCheck: {
+    livenessCheck: {
       check: ({ engineId }) => Promise.resolve(liveness[engineId]),
     },
   });
@@ -25,13 +25,13 @@
 test("an upstream that crashed no longer counts once a check has found it", async () => {
   const record = makeRecord({ e1: "ended", e2: "listening" });
   assert.not(record.mayRunElsewhere());
-  await record.checkEnds();
+  await record.detectCrashes();
   assert.ok(record.mayRunElsewhere());
 });
 
 test("upstreams that are alive or unresponsive count", async () => {
   const record = makeRecord({ e1: "unknown", e2: "listening" });
-  await record.checkEnds();
+  await record.detectCrashes();
   assert.not(record.mayRunElsewhere());
 });
 
--- a/src/gateway/create_send_waits.ts
+++ b/src/gateway/create_send_waits.ts
@@ -4,17 +4,17 @@
  * @module
  */
 
-import type { RoomWait } from "./create_room_wait.ts";
+import type { CapacityWait } from "./create_capacity_wait.ts";
 import type { StreamRelay } from "./create_stream_relay.ts";
 
 /** What the waits need to know of their call. */
 export interface CreateSendWaitsOptions {
-  readonly roomWait: Pick<RoomWait, "mayWait">;
+  readonly capacityWait: Pick<CapacityWait, "mayWait">;
   readonly relay: Pick<StreamRelay, "getSilenceMs">;
   /** Whether the caller has received the head of a response. */
   readonly hasBegun: () => boolean;
   /** Called when it is time to check again. */
-  readonly onLook: () => void;
+  readonly onCheck: () => void;
   /** Called when the stream has waited for too long, with what it waited for. */
   readonly onGiveUp: (reason: string) => void;
 }
@@ -22,7 +22,7 @@
 /** The waits of one call. */
 export interface SendWaits {
   /** Waits for free capacity on the engines. */
-  waitForRoom(): void;
+  waitForCapacity(): void;
   /** Waits for a path; `onWait` is called only where one may still become available. */
   waitForPath(options: {
     readonly onWait: () => void;
@@ -30,7 +30,7 @@
     readonly leftMs?: number;
   }): void;
   /** Waits for a retry that the budget allows. */
-  waitForRepeats(): void;
+  waitForRetryBudget(): void;
   /**
    * Records that the stream was sent: the next wait for the retry budget starts at 0.
    */
@@ -68,12 +68,12 @@
  * const waits = createSendWaits(options);
  */
 export function createSendWaits(options: CreateSendWaitsOptions): SendWaits {
-  const { onLook: onCheck, onGiveUp } = options;
+  const { onCheck: onCheck, onGiveUp } = options;
   let budgetWaitedMs = 0;
   return {
     // Waits only as long as the first event can still arrive in time.
-    waitForRoom() {
-      if (!options.roomWait.mayWait()) return onGiveUp("full");
+    waitForCapacity() {
+      if (!options.capacityWait.mayWait()) return onGiveUp("full");
       setTimeout(onCheck, CAPACITY_POLL_MS);
     },
     waitForPath({ onWait, leftMs = 0 }) {
@@ -87,7 +87,7 @@
       setTimeout(onCheck, PATH_POLL_MS);
     },
     // The leader is asked to lend budget; its response takes a round trip.
-    waitForRepeats() {
+    waitForRetryBudget() {
       if (budgetWaitedMs >= MAX_BUDGET_WAIT_MS) return onGiveUp("no budget");
       budgetWaitedMs += BUDGET_POLL_MS;
       setTimeout(onCheck, BUDGET_POLL_MS);
--- a/src/gateway/create_stall_watch.ts
+++ b/src/gateway/create_stall_reports.ts
@@ -11,19 +11,19 @@
   StalledRequest,
 } from "./protocol.ts";
 
-/** Options of {@link createStallWatch}. */
-export interface CreateStallWatchOptions {
-  readonly engineControl: Pick<EngineControl, "readStalled">;
+/** Options of {@link createStallReports}. */
+export interface CreateStallReportsOptions {
+  readonly engineControl: Pick<EngineControl, "listStalledRequests">;
   /** Called with the status notice in an engine's answer. */
   readonly onNotice: (engineId: string, notice: EngineNotice) => void;
   /** Whether an engine may be queried now. */
-  readonly mayAsk: (engineId: string) => boolean;
+  readonly mayQuery: (engineId: string) => boolean;
   /** Monotonic time, in ms. */
   readonly now: () => number;
 }
 
 /** Reads and caches the stalled requests of engines. */
-export interface StallWatch {
+export interface StallReports {
   /**
    * Returns the stalled requests of an engine: none if it may not be queried now.
    * Rejects if the engine gives no report.
@@ -53,17 +53,17 @@
  * @example
  * const stalled = await stallReports.read({ engineId, address });
  */
-export function createStallWatch(
-  options: CreateStallWatchOptions,
-): StallWatch {
+export function createStallReports(
+  options: CreateStallReportsOptions,
+): StallReports {
   const { engineControl, now } = options;
   const reportsByAddress = new Map<string, CachedReport>();
   return {
     read({ engineId, address }) {
       const last = reportsByAddress.get(address);
       if (last && now() - last.atMs < REPORT_TTL_MS) return last.report;
-      if (!options.mayAsk(engineId)) return Promise.resolve([]);
-      const report = engineControl.readStalled(address, {
+      if (!options.mayQuery(engineId)) return Promise.resolve([]);
+      const report = engineControl.listStalledRequests(address, {
         timeoutMs: REPORT_TIMEOUT_MS,
         onNotice: (notice) => options.onNotice(engineId, notice),
       });
--- a/src/gateway/create_stall_watch_test.ts
+++ b/src/gateway/create_stall_reports_test.ts
@@ -1,6 +1,6 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { createStallWatch } from "./create_stall_watch.ts";
+import { createStallReports } from "./create_stall_reports.ts";
 
 const ENGINE = { engineId: "e", address: "e:80" };
 const STALLED = [{ requestId: "r", address: "f:80" }];
@@ -9,16 +9,16 @@
   const asked: string[] = [];
   const leaving: string[] = [];
   const clock = { ms: 0 };
-  const watch = createStallWatch({
+  const watch = createStallReports({
     engineControl: {
-      readStalled(address, { onNotice }) {
+      listStalledRequests(address, { onNotice }) {
         asked.push(address);
         onNotice?.({ isLeaving: true });
         return Promise.resolve(STALLED);
       },
     },
     onNotice: (engineId) => void leaving.push(engineId),
-    mayAsk: canQuery,
+    mayQuery: canQuery,
     now: () => clock.ms,
   });
   return { watch, asked, leaving, clock };
--- a/src/gateway/create_end_rate.ts
+++ b/src/gateway/create_stream_end_rate.ts
@@ -5,10 +5,10 @@
  */
 
 /** The rate at which streams of this gateway end. */
-export interface EndRate {
+export interface StreamEndRate {
   noteEnd(end: { readonly tookMs: number }): void;
   /** Duration, in ms, of the longest stream that ended recently. */
-  getLongestMs(): number;
+  getMaxDurationMs(): number;
   /** Mean time, in ms, between the ends of two streams. */
   getIntervalMs(): number;
 }
@@ -28,9 +28,9 @@
  * @example
  * const streamEndRate = createStreamEndRate({ now });
  */
-export function createEndRate(
+export function createStreamEndRate(
   options: { readonly now: () => number },
-): EndRate {
+): StreamEndRate {
   const { now } = options;
   let ends: { readonly atMs: number; readonly tookMs: number }[] = [];
 
@@ -44,7 +44,7 @@
       ends = listWithin(RETENTION_MS);
       ends.push({ atMs: now(), tookMs });
     },
-    getLongestMs: () =>
+    getMaxDurationMs: () =>
       Math.max(0, ...listWithin(RETENTION_MS).map(({ tookMs }) => tookMs)),
     getIntervalMs: () => WINDOW_MS / Math.max(1, listWithin(WINDOW_MS).length),
   };
--- a/src/gateway/create_exchanger.ts
+++ b/src/gateway/create_upstream_transport.ts
@@ -52,16 +52,16 @@
 }
 
 /** Starts exchanges over a connection pool for each upstream. */
-export interface Exchanger extends AsyncDisposable {
+export interface UpstreamTransport extends AsyncDisposable {
   start(options: ExchangeOptions): Exchange;
   /** Whether there is an idle connection to an upstream. */
   hasIdleConnection(engineId: string): boolean;
   /** Closes the idle connections to an upstream that has departed. */
-  forget(engineId: string): void;
+  removeUpstream(engineId: string): void;
 }
 
-/** Options of {@link createExchanger}. */
-export interface CreateExchangerOptions {
+/** Options of {@link createUpstreamTransport}. */
+export interface CreateUpstreamTransportOptions {
   /** Called with the status notice in each answer of an upstream, even a late one. */
   readonly onNotice?: (engineId: string, notice: EngineNotice) => void;
 }
@@ -88,10 +88,10 @@
  * @example
  * await using client = createUpstreamClient(codec);
  */
-export function createExchanger(
+export function createUpstreamTransport(
   codec: Pick<CallerCodec, "readUpstreamHead">,
-  { onNotice = () => {} }: CreateExchangerOptions = {},
-): Exchanger {
+  { onNotice = () => {} }: CreateUpstreamTransportOptions = {},
+): UpstreamTransport {
   const pools = new Map<string, Pool>();
   let isClosed = false;
   // True while the end of a connection that was reset is being handled; the library
@@ -206,7 +206,7 @@
   return {
     start,
     hasIdleConnection: (engineId) => (pools.get(engineId)?.stats.free ?? 0) > 0,
-    forget(engineId) {
+    removeUpstream(engineId) {
       const pool = pools.get(engineId);
       pools.delete(engineId);
       void pool?.close().catch(() => {});
--- a/src/gateway/create_exchanger_test.ts
+++ b/src/gateway/create_upstream_transport_test.ts
@@ -4,11 +4,11 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import {
-  createExchanger,
+  createUpstreamTransport,
   type ExchangeEnd,
   type ExchangeOptions,
-  type Exchanger,
-} from "./create_exchanger.ts";
+  type UpstreamTransport,
+} from "./create_upstream_transport.ts";
 import type { CallerCodec, UpstreamHead } from "./protocol.ts";
 
 const codec = {
@@ -17,7 +17,7 @@
     headers: [],
     requestId: String(headers["x-id"] ?? ""),
     isSigned: true,
-    saysNotRun: false,
+    reportsNotRun: false,
     isLeaving: headers["x-leaving"] !== undefined,
     faultAddress: undefined,
     load: undefined,
@@ -44,7 +44,7 @@
 
 /** Starts an exchange and returns how it ended. */
 function runExchange(
-  exchanger: Exchanger,
+  exchanger: UpstreamTransport,
   options: Pick<ExchangeOptions, "address"> & Partial<ExchangeOptions>,
 ): Promise<ExchangeEnd> {
   return new Promise<ExchangeEnd>((resolve) => {
@@ -68,7 +68,7 @@
   requestId = "r1",
 ): Promise<{ end: ExchangeEnd; body: string; status: number | undefined }> {
   await using server = await startRawServer(answer);
-  await using exchanger = createExchanger(codec);
+  await using exchanger = createUpstreamTransport(codec);
   const chunks: Buffer[] = [];
   let status: number | undefined;
   const end = await new Promise<ExchangeEnd>((resolve) => {
@@ -150,7 +150,7 @@
 });
 
 test("nothing is sent when the connection is refused", async () => {
-  await using exchanger = createExchanger(codec);
+  await using exchanger = createUpstreamTransport(codec);
   const end = await new Promise<ExchangeEnd>((resolve) => {
     exchanger.start({
       engineId: "e",
@@ -169,7 +169,7 @@
 });
 
 test("a disposed client sends nothing and reports that asynchronously", async () => {
-  const exchanger = createExchanger(codec);
+  const exchanger = createUpstreamTransport(codec);
   await exchanger[Symbol.asyncDispose]();
   let end: ExchangeEnd | undefined;
   exchanger.start({
@@ -196,7 +196,7 @@
   await using server = await startRawServer((socket) =>
     socket.write(whole + whole)
   );
-  await using exchanger = createExchanger(codec);
+  await using exchanger = createUpstreamTransport(codec);
   for (const requestId of ["r1", "r1"]) {
     const body: string[] = [];
     const end = await new Promise<ExchangeEnd>((resolve) => {
@@ -223,7 +223,7 @@
   await using server = await startRawServer((socket) =>
     socket.write(`${HEAD}content-length: 4\r\n\r\nabcd`)
   );
-  await using exchanger = createExchanger(codec);
+  await using exchanger = createUpstreamTransport(codec);
   assert.not(exchanger.hasIdleConnection("e"));
   await new Promise<ExchangeEnd>((resolve) => {
     exchanger.start({
@@ -241,7 +241,7 @@
   });
   await sleep(20);
   assert.ok(exchanger.hasIdleConnection("e"));
-  exchanger.forget("e");
+  exchanger.removeUpstream("e");
   assert.not(exchanger.hasIdleConnection("e"));
 });
 
@@ -251,7 +251,7 @@
     receivedRequests.push("request");
     socket.end();
   });
-  await using exchanger = createExchanger(codec);
+  await using exchanger = createUpstreamTransport(codec);
   let mayBeSent = true;
   const ending = runExchange(exchanger, {
     address: server.address,
@@ -271,7 +271,7 @@
       "HTTP/1.1 503 x\r\nx-id: other\r\nx-leaving: 1\r\ncontent-length: 0\r\n\r\n",
     )
   );
-  await using exchanger = createExchanger(codec, {
+  await using exchanger = createUpstreamTransport(codec, {
     onNotice: (_engineId, { isLeaving }) => void notices.push(isLeaving),
   });
   const end = await runExchange(exchanger, { address: server.address });
--- a/src/gateway/decide_call.ts
+++ b/src/gateway/decide_call.ts
@@ -18,7 +18,7 @@
   /** Whether the lease on the configuration is valid. */
   readonly isTrusted: boolean;
   /** Whether the process is stopping and admits no new requests. */
-  readonly isLastCall: boolean;
+  readonly isDraining: boolean;
   /** A number in [0, 1). */
   readonly random: number;
 }
@@ -50,7 +50,7 @@
   options: DecideCallOptions,
 ): CallDecision {
   const { table, isTrusted } = options;
-  if (options.isLastCall) return refuseTemporarily("leaving");
+  if (options.isDraining) return refuseTemporarily("leaving");
   if (!table || !options.knowsEngines) return refuseTemporarily("no_config");
   const route = table.findRoute(request.host, request.path);
   if (!route) {
--- a/src/gateway/decide_call_test.ts
+++ b/src/gateway/decide_call_test.ts
@@ -30,7 +30,7 @@
       table: TABLE,
       knowsEngines: true,
       isTrusted: true,
-      isLastCall: false,
+      isDraining: false,
       random: 0,
       ...options,
     },
@@ -62,7 +62,7 @@
 test("all requests are refused before the first configuration and while draining", () => {
   assert.is(decide({ key: "k" }, { table: undefined }), "503 no_config");
   assert.is(decide({ key: "k" }, { knowsEngines: false }), "503 no_config");
-  assert.is(decide({ key: "k" }, { isLastCall: true }), "503 leaving");
+  assert.is(decide({ key: "k" }, { isDraining: true }), "503 leaving");
 });
 
 test.run();
--- a/src/gateway/find_upstream_end.ts
+++ b/src/gateway/detect_upstream_crash.ts
@@ -4,7 +4,7 @@
  * @module
  */
 
-import type { UpstreamAddress } from "./create_end_check.ts";
+import type { UpstreamAddress } from "./create_liveness_check.ts";
 import type { Call, ServingContext } from "./types.ts";
 
 /** A run that broke off. */
@@ -76,11 +76,11 @@
  * @example
  * const isSuspect = await detectUpstreamCrash(call, context, run);
  */
-export async function findUpstreamEnd(
+export async function detectUpstreamCrash(
   call: Call,
   context: Pick<
     ServingContext,
-    "endCheck" | "leftRuns" | "quarantine" | "log" | "metrics" | "now"
+    "livenessCheck" | "abandonedRuns" | "quarantine" | "log" | "metrics" | "now"
   >,
   run: BrokenRun,
 ): Promise<boolean> {
@@ -88,11 +88,11 @@
   const { engineId } = upstream;
   const brokeMs = context.now();
   const isSuspect = hasJustBegun(run, brokeMs);
-  if (!isSuspect && !context.leftRuns.has(engineId)) return false;
-  const liveness = await context.endCheck.check(upstream);
+  if (!isSuspect && !context.abandonedRuns.has(engineId)) return false;
+  const liveness = await context.livenessCheck.check(upstream);
   context.metrics.count("upstream.end_checks");
   if (liveness !== "ended") return false;
-  for (const requestKey of context.leftRuns.take(engineId)) {
+  for (const requestKey of context.abandonedRuns.take(engineId)) {
     context.quarantine.noteCrash({ requestKey, engineId });
   }
   if (!isSuspect) return false;
@@ -106,6 +106,6 @@
   });
   const { requestKey } = call;
   context.quarantine.noteCrash({ requestKey, engineId });
-  await context.quarantine.untilTold(requestKey);
+  await context.quarantine.waitUntilReported(requestKey);
   return true;
 }
--- a/src/gateway/find_upstream_end_test.ts
+++ b/src/gateway/detect_upstream_crash_test.ts
@@ -1,9 +1,9 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import type { CrashReport } from "../quarantine/index.ts";
-import type { UpstreamLiveness } from "./create_end_check.ts";
-import { createLeftRuns } from "./create_left_runs.ts";
-import { findUpstreamEnd, isProved } from "./find_upstream_end.ts";
+import type { UpstreamLiveness } from "./create_liveness_check.ts";
+import { createAbandonedRuns } from "./create_abandoned_runs.ts";
+import { detectUpstreamCrash, isProved } from "./detect_upstream_crash.ts";
 import type { Call, ServingContext } from "./types.ts";
 
 const UPSTREAM = { engineId: "e1", address: "10.0.0.1:80" };
@@ -13,11 +13,11 @@
   const state = { nowMs: 1_000, checks: 0 };
   const reports: CrashReport[] = [];
   const now = () => state.nowMs;
-  const abandonedRuns = createLeftRuns({ now });
+  const abandonedRuns = createAbandonedRuns({ now });
   const context = {
     now,
-    leftRuns: abandonedRuns,
-    endCheck: {
+    abandonedRuns,
+    livenessCheck: {
       check() {
         state.checks += 1;
         return Promise.resolve(liveness);
@@ -25,13 +25,13 @@
     },
     quarantine: {
       noteCrash: (report: CrashReport) => void reports.push(report),
-      untilTold: () => Promise.resolve(),
+      waitUntilReported: () => Promise.resolve(),
     },
     log: () => {},
     metrics: { count: () => {} },
   } as unknown as ServingContext;
   const detect = (firstEventMs?: number) =>
-    findUpstreamEnd(CALL, context, {
+    detectUpstreamCrash(CALL, context, {
       upstream: UPSTREAM,
       sentMs: 900,
       firstEventMs,
--- a/src/gateway/engine_view.ts
+++ b/src/gateway/engine_view.ts
@@ -23,7 +23,7 @@
   /** This gateway's tokens on it at the last report of the others'. */
   tokensAtReport: number;
   /** Newest load that it reported, over its slots. */
-  toldLoad: number;
+  reportedLoad: number;
   /** Time, in ms, until which it is excluded as suspected. */
   suspectUntilMs: number;
   /** Time, in ms, until which it counts as full. */
@@ -108,7 +108,7 @@
     otherRequests: 0,
     otherTokens: 0,
     tokensAtReport: 0,
-    toldLoad: 0,
+    reportedLoad: 0,
     suspectUntilMs: 0,
     fullUntilMs: 0,
     suspicions: 0,
--- a/src/gateway/expect_others.ts
+++ b/src/gateway/estimate_other_work.ts
@@ -18,7 +18,7 @@
 import type { PathPart } from "../layers/index.ts";
 
 /** Estimated change of other gateways' work since the last report. */
-export interface ExpectedWork {
+export interface EstimatedWork {
   /** Share of the reported work that has ended since. */
   readonly endedShare: number;
   /** Work that has started since. */
@@ -26,15 +26,15 @@
 }
 
 /** What the estimate depends on. */
-export interface ExpectOthersOptions {
+export interface EstimateOtherWorkOptions {
   /** Requests that other gateways have started since the last report. */
-  readonly begunRequests: number;
+  readonly startedRequests: number;
   /** Share of the reported requests that have ended since. */
   readonly endedShare: number;
   /** Tokens that a request usually takes. */
   readonly usualTokens: number;
   /** Chooses the path of another gateway's request, given the work estimated so far. */
-  readonly choose: (expected: ExpectedWork) => readonly PathPart[] | undefined;
+  readonly choose: (expected: EstimatedWork) => readonly PathPart[] | undefined;
   /** A number in [0, 1). */
   readonly random: () => number;
 }
@@ -56,9 +56,11 @@
  * @example
  * const expected = estimateOtherWork(options);
  */
-export function expectOthers(options: ExpectOthersOptions): ExpectedWork {
+export function estimateOtherWork(
+  options: EstimateOtherWorkOptions,
+): EstimatedWork {
   const {
-    begunRequests: startedRequests,
+    startedRequests,
     endedShare,
     usualTokens,
     choose,
--- a/src/gateway/expect_others_test.ts
+++ b/src/gateway/estimate_other_work_test.ts
@@ -1,50 +1,50 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { playChoices } from "../../measure/choice_model.ts";
-import { expectOthers } from "./expect_others.ts";
+import { simulatePathChoice } from "../../measure/choice_model.ts";
+import { estimateOtherWork } from "./estimate_other_work.ts";
 
 const LOAD = { gateways: 200, spanMs: 8_000, seed: 7 };
 
 test("at 300 streams a second engines refuse almost none; 0.3 per stream where gateways use reported loads alone", () => {
-  const baseline = playChoices({
+  const baseline = simulatePathChoice({
     ...LOAD,
     askedPerS: 300,
-    expectsOthers: false,
+    estimatesOthers: false,
   });
   assert.ok(
     baseline.refusals > 0.2 * baseline.asked,
     `${baseline.refusals} with reported loads alone`,
   );
-  const { asked, begun, refusals } = playChoices({
+  const { asked, begun, refusals } = simulatePathChoice({
     ...LOAD,
     askedPerS: 300,
-    expectsOthers: true,
+    estimatesOthers: true,
   });
   assert.ok(refusals < 0.01 * asked, `${refusals} of ${asked}`);
   assert.is(begun, asked);
 });
 
 test("at 380 a second nearly all start; one in twenty doesn't with reported loads alone", () => {
-  const baseline = playChoices({
+  const baseline = simulatePathChoice({
     ...LOAD,
     askedPerS: 380,
-    expectsOthers: false,
+    estimatesOthers: false,
   });
   assert.ok(
     baseline.begun < 0.96 * baseline.asked,
     `${baseline.begun} with reported loads alone`,
   );
-  const { asked, begun } = playChoices({
+  const { asked, begun } = simulatePathChoice({
     ...LOAD,
     askedPerS: 380,
-    expectsOthers: true,
+    estimatesOthers: true,
   });
   assert.ok(begun > 0.98 * asked, `${begun} of ${asked}`);
 });
 
 test("other gateways' requests are simulated one after another by the same rule", () => {
-  const expected = expectOthers({
-    begunRequests: 40,
+  const expected = estimateOtherWork({
+    startedRequests: 40,
     endedShare: 0.25,
     usualTokens: 100,
     choose: ({ begun }) => {
@@ -64,8 +64,8 @@
 });
 
 test("where no request went before, no work is estimated", () => {
-  const { begun } = expectOthers({
-    begunRequests: 40,
+  const { begun } = estimateOtherWork({
+    startedRequests: 40,
     endedShare: 0,
     usualTokens: 100,
     choose: () => [{ engineId: "a", fromLayer: 0, toLayer: 8 }],
--- a/src/gateway/gateway_parts_test.ts
+++ b/src/gateway/gateway_parts_test.ts
@@ -3,8 +3,8 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { createConfigLease } from "./create_config_lease.ts";
-import { getLastCallMs } from "./get_last_call_ms.ts";
-import { createRepeatBudget } from "./create_repeat_budget.ts";
+import { getDrainAdmissionMs } from "./get_drain_admission_ms.ts";
+import { createGatewayRetryBudget } from "./create_gateway_retry_budget.ts";
 import { createEventSplitter } from "./split_events.ts";
 
 test("events are complete however the stream is split into chunks", () => {
@@ -60,7 +60,7 @@
     getGatewayCount: () => 11,
     now: () => nowMs,
   };
-  const budget = createRepeatBudget(options);
+  const budget = createGatewayRetryBudget(options);
   for (let at = 0; at < 50; at++) budget.noteRequest("s");
   let spent = 0;
   while (budget.spend("s")) spent += 1;
@@ -76,8 +76,8 @@
 });
 
 test("a stopping gateway admits no call that may outlast its grace period", () => {
-  assert.ok(getLastCallMs(8_000) < 3_000);
-  assert.is(getLastCallMs(1_000), 400);
+  assert.ok(getDrainAdmissionMs(8_000) < 3_000);
+  assert.is(getDrainAdmissionMs(1_000), 400);
 });
 
 test.run();
--- a/src/gateway/get_last_call_ms.ts
+++ b/src/gateway/get_drain_admission_ms.ts
@@ -24,6 +24,6 @@
  * @example
  * getDrainAdmissionMs(8_000);
  */
-export function getLastCallMs(graceMs: number): number {
+export function getDrainAdmissionMs(graceMs: number): number {
   return Math.min(MAX_ADMISSION_MS, graceMs * ADMISSION_SHARE);
 }
--- a/src/gateway/get_limit_wait_ms.ts
+++ b/src/gateway/get_limit_wait_ms.ts
@@ -4,7 +4,7 @@
  * @module
  */
 
-import { listBeginners } from "./create_run_permit.ts";
+import { listFirstUpstreams } from "./create_run_permit.ts";
 import type { Call, ServingContext } from "./types.ts";
 
 /**
@@ -22,7 +22,7 @@
   call: Call,
   context: Pick<ServingContext, "engines" | "getTable" | "rateLimits">,
 ): number | undefined {
-  const waitsMs = listBeginners(call, context)
+  const waitsMs = listFirstUpstreams(call, context)
     .map(({ record }) => context.rateLimits.getWaitMs(record.engineId));
   if (waitsMs.length === 0 || waitsMs.includes(0)) return undefined;
   return Math.min(...waitsMs);
--- a/src/gateway/take_refusal.ts
+++ b/src/gateway/handle_refusal.ts
@@ -35,21 +35,21 @@
  * @example
  * excluded.add(handleRefusal(call, context, { sent, head }));
  */
-export function takeRefusal(
+export function handleRefusal(
   call: Call,
   context: ServingContext,
   { sent, head }: HandleRefusalOptions,
 ): string {
-  const { engines, notices, runWatch, now, log } = context;
+  const { engines, notices, runMonitor: runWatch, now, log } = context;
   const { status, backOffMs, faultAddress } = head;
   const [first] = sent.path;
   const faulty = sent.path.find(({ address }) => address === faultAddress) ??
     first;
   const { engineId } = faulty;
   const tookMs = Math.round(now() - sent.sentMs);
-  const namesOtherEngine = backOffMs !== undefined && faulty !== first;
-  if (namesOtherEngine) notices.take(engineId, { backOffMs, isLeaving: false });
-  const isOwnBackOff = backOffMs !== undefined && !namesOtherEngine;
+  const namesOther = backOffMs !== undefined && faulty !== first;
+  if (namesOther) notices.record(engineId, { backOffMs, isLeaving: false });
+  const isOwnBackOff = backOffMs !== undefined && !namesOther;
   const isDead = tookMs > DEAD_ENGINE_REFUSAL_MS && !isOwnBackOff;
   if (status === MISDIRECTED_STATUS || isDead) {
     engines.suspect(engineId, `refused with ${status}`);
--- a/src/gateway/take_refusal_test.ts
+++ b/src/gateway/handle_refusal_test.ts
@@ -1,7 +1,7 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import type { UpstreamHead } from "./protocol.ts";
-import { takeRefusal } from "./take_refusal.ts";
+import { handleRefusal } from "./handle_refusal.ts";
 import type { Call, ServingContext } from "./types.ts";
 
 const CALL = { service: "s", request: { requestId: "r" } } as Call;
@@ -25,8 +25,8 @@
       listUsable: () => [],
       listBackedOff: () => [],
     },
-    notices: { take: (id: string) => void seen.resting.push(id) },
-    runWatch: {
+    notices: { record: (id: string) => void seen.resting.push(id) },
+    runMonitor: {
       checkEngine: (one: { engineId: string }) =>
         void seen.asked.push(one.engineId),
     },
@@ -37,7 +37,7 @@
   } as unknown as ServingContext;
   const sent = { path: PATH, sentMs: 0 };
   const full = { status: 503, isLeaving: false, ...head } as UpstreamHead;
-  const faulty = takeRefusal(CALL, context, { sent, head: full });
+  const faulty = handleRefusal(CALL, context, { sent, head: full });
   return { ...seen, faulty };
 }
 
--- a/src/gateway/spread_return_ms.ts
+++ b/src/gateway/jitter_retry_after_ms.ts
@@ -21,7 +21,7 @@
  * @example
  * const retryAfterMs = jitterRetryAfterMs(3_000, Math.random()); // 3000 to 3600
  */
-export function spreadReturnMs(waitMs: number, random: number): number {
+export function jitterRetryAfterMs(waitMs: number, random: number): number {
   const jitterMs = Math.max(MIN_JITTER_MS, JITTER_SHARE * waitMs);
   return Math.ceil(waitMs + jitterMs * random);
 }
--- a/src/gateway/list_sendable.ts
+++ b/src/gateway/list_sendable_engines.ts
@@ -18,10 +18,10 @@
  * @example
  * const engine = chooseEngine(listSendableEngines(call, context), options);
  */
-export function listSendable(
+export function listSendableEngines(
   { service }: Pick<Call, "service">,
   { engines, rateLimits }: Pick<ServingContext, "engines" | "rateLimits">,
 ): EngineView[] {
   return engines.listUsable(service)
-    .filter(({ record }) => rateLimits.hasSendLeft(record.engineId));
+    .filter(({ record }) => rateLimits.maySend(record.engineId));
 }
--- a/src/gateway/note_back_off.ts
+++ b/src/gateway/note_back_off.ts
@@ -5,7 +5,7 @@
  */
 
 import { getCallModel } from "./choose_call_path.ts";
-import { listBeginners } from "./create_run_permit.ts";
+import { listFirstUpstreams } from "./create_run_permit.ts";
 import type { Call, ServingContext } from "./types.ts";
 
 /**
@@ -25,7 +25,7 @@
   const { engines, throttle } = context;
   const { service } = call;
   const isLayered = getCallModel(call, context) !== undefined;
-  const usable = listBeginners(call, context).length;
+  const usable = listFirstUpstreams(call, context).length;
   const backedOff = engines.listBackedOff(service)
     .filter(({ record }) => !isLayered || record.layers?.fromLayer === 0)
     .length;
--- a/src/gateway/protocol.ts
+++ b/src/gateway/protocol.ts
@@ -27,7 +27,7 @@
   readonly lastEventId: string | undefined;
   readonly promptTokens: number;
   /** Maximum number of tokens in the answer. */
-  readonly answerTokens: number;
+  readonly maxAnswerTokens: number;
   /** Unaltered header fields, as alternating names and values. */
   readonly rawHeaders: readonly string[];
 }
@@ -58,7 +58,7 @@
   /** Whether the upstream signed the answer as its own. */
   readonly isSigned: boolean;
   /** Whether the upstream reports that it did not run the request. */
-  readonly saysNotRun: boolean;
+  readonly reportsNotRun: boolean;
   /** Address of the upstream at fault, if that is another one. */
   readonly faultAddress: string | undefined;
   /** Running and waiting requests divided by slots, if reported. */
@@ -98,7 +98,7 @@
 }
 
 /** Whether an engine responds, and how slow it reports to be. */
-export type EnginePresence =
+export type EngineLiveness =
   /** `pace` multiplies its usual processing times; 1 if it is not slow. */
   | { readonly state: "present"; readonly pace: number }
   /** The engine refuses connections. */
@@ -107,12 +107,12 @@
 
 /** Queries and controls the engines of a layered model. */
 export interface EngineControl {
-  checkPresence(
+  checkLiveness(
     address: string,
     options: EngineCallOptions,
-  ): Promise<EnginePresence>;
+  ): Promise<EngineLiveness>;
   /** Lists the requests stalled at an engine, with the engine each waits for. */
-  readStalled(
+  listStalledRequests(
     address: string,
     options: EngineCallOptions,
   ): Promise<readonly StalledRequest[]>;
--- a/src/gateway/recover_stalled_run.ts
+++ b/src/gateway/recover_stalled_run.ts
@@ -4,7 +4,7 @@
  * @module
  */
 
-import { findDetour } from "./choose_call_path.ts";
+import { findAlternatePath } from "./choose_call_path.ts";
 import type { AddressedPart } from "./protocol.ts";
 import type { Call, ServingContext } from "./types.ts";
 
@@ -52,7 +52,7 @@
   const { requestId } = call.request;
   let stalledAddress: string | undefined;
   try {
-    const stalled = await context.stallWatch.read(first);
+    const stalled = await context.stallReports.read(first);
     stalledAddress = stalled.find((one) => one.requestId === requestId)
       ?.address;
   } catch (error) {
@@ -106,13 +106,13 @@
   const excluded = new Set([...options.excluded, engineId]);
   const path = engineId === first.engineId
     ? undefined
-    : findDetour(call, context, { path: options.path, excluded });
+    : findAlternatePath(call, context, { path: options.path, excluded });
   const isAccepted = path !== undefined && await context.engineControl
     .changePath(first.address, {
       requestId,
       path,
       timeoutMs: COMMAND_TIMEOUT_MS,
-      onNotice: (notice) => context.notices.take(first.engineId, notice),
+      onNotice: (notice) => context.notices.record(first.engineId, notice),
     });
   context.log("pathChanged", { requestId, dead: engineId, moved: isAccepted });
   return isAccepted ? path : undefined;
--- a/src/gateway/recover_stalled_run_test.ts
+++ b/src/gateway/recover_stalled_run_test.ts
@@ -22,7 +22,7 @@
       getBackOffLeftMs: (engineId: string) =>
         engineId === "e1" ? backOffLeftMs : 0,
     },
-    stallWatch: {
+    stallReports: {
       read: () => Promise.resolve([{ requestId: "r", address: "e2:80" }]),
     },
     getTable: () => {
--- a/src/gateway/request_grant.ts
+++ b/src/gateway/request_grant.ts
@@ -22,7 +22,7 @@
   { rateLimits, log }: Pick<ServingContext, "rateLimits" | "log">,
   engineId: string,
 ): Promise<void> {
-  await rateLimits.request(engineId);
+  await rateLimits.requestGrant(engineId);
   const waitMs = Math.ceil(rateLimits.getWaitMs(engineId));
   if (waitMs === 0) return;
   const limitPerS = rateLimits.getLimitPerS(engineId);
--- a/src/gateway/answer_refusal.ts
+++ b/src/gateway/send_refusal.ts
@@ -8,7 +8,7 @@
 import type { CallerCodec, CallerRequest, Refusal } from "./protocol.ts";
 
 /** Which request is refused, and why. */
-export interface AnswerRefusalOptions {
+export interface SendRefusalOptions {
   readonly codec: CallerCodec;
   readonly request: CallerRequest | undefined;
   readonly refusal: Refusal;
@@ -26,9 +26,9 @@
  * @example
  * sendRefusal(response, { codec, request, refusal });
  */
-export function answerRefusal(
+export function sendRefusal(
   response: ServerResponse,
-  options: AnswerRefusalOptions,
+  options: SendRefusalOptions,
 ): void {
   const { codec, request, refusal, closes = false } = options;
   if (response.headersSent || response.destroyed) {
--- a/src/gateway/serve_plain_call.ts
+++ b/src/gateway/serve_plain_call.ts
@@ -6,27 +6,27 @@
 
 import { Buffer } from "node:buffer";
 import { admitCall } from "./admit_call.ts";
-import { chooseEngine, getKeptShare } from "./choose_engine.ts";
+import { chooseEngine, estimateRunningShare } from "./choose_engine.ts";
 import { createCallEnd } from "./create_call_end.ts";
-import { createLaterRefusals } from "./create_later_refusals.ts";
+import { createRetryAfterRefusals } from "./create_retry_after_refusals.ts";
 import type { EngineView } from "./engine_view.ts";
-import type { Exchange, ExchangeEnd } from "./create_exchanger.ts";
+import type { Exchange, ExchangeEnd } from "./create_upstream_transport.ts";
 import {
   createRunPermit,
-  holdBack,
   PERMIT_POLL_MS,
+  refuseHeldCall,
 } from "./create_run_permit.ts";
-import { createTryPayment } from "./create_try_payment.ts";
-import { findUpstreamEnd } from "./find_upstream_end.ts";
+import { createAttemptCharge } from "./create_attempt_charge.ts";
+import { detectUpstreamCrash } from "./detect_upstream_crash.ts";
 import { getBackOffWaitMs } from "./get_back_off_wait_ms.ts";
 import { noteBackOff } from "./note_back_off.ts";
 import { noteWithheld } from "./note_withheld.ts";
 import type { UpstreamHead } from "./protocol.ts";
 import type { SendGrant } from "./create_rate_limits.ts";
 import { getLimitWaitMs } from "./get_limit_wait_ms.ts";
-import { listSendable } from "./list_sendable.ts";
+import { listSendableEngines } from "./list_sendable_engines.ts";
 import { requestGrant } from "./request_grant.ts";
-import { spreadReturnMs } from "./spread_return_ms.ts";
+import { jitterRetryAfterMs } from "./jitter_retry_after_ms.ts";
 import { startCallExchange } from "./start_call_exchange.ts";
 import type { Call, ServingContext } from "./types.ts";
 
@@ -66,7 +66,7 @@
     const { engines, now, log, metrics } = context;
     const { requestId } = request;
     const excluded = new Set<string>();
-    const payment = createTryPayment(() => context.budget.spend(service));
+    const payment = createAttemptCharge(() => context.budget.spend(service));
     const permit = createRunPermit(call, context);
     let sendCount = 0;
     let runCount = 0;
@@ -87,7 +87,7 @@
       onDeadline: endAtDeadline,
     });
 
-    const refusals = createLaterRefusals(call, context, {
+    const refusals = createRetryAfterRefusals(call, context, {
       callEnd,
       getProgress: () => ({ tries: sendCount, runs: runCount }),
     });
@@ -108,10 +108,10 @@
       if (callEnd.hasEnded()) return;
       // The deadline timer does not advance while the machine is suspended.
       if (now() >= call.deadlineMs) return endAtDeadline();
-      const answer = permit.ask({ excluded });
+      const answer = permit.request({ excluded });
       if (answer.type === "held") {
         const hasRun = runCount > 0;
-        return holdBack(call, context, { callEnd, held: answer, hasRun });
+        return refuseHeldCall(call, context, { callEnd, held: answer, hasRun });
       }
       if (answer.type === "wait") return waitForPermit();
       const { trialEngineId } = answer;
@@ -125,10 +125,10 @@
         : undefined;
       if (!engine) return giveUp();
       const { engineId } = engine.record;
-      const grant = context.rateLimits.take(engineId);
+      const grant = context.rateLimits.takeGrant(engineId);
       if (!grant) return void requestGrant(call, context, engineId).then(next);
-      if (!payment.payNext()) {
-        grant.giveBack();
+      if (!payment.chargeNext()) {
+        grant.release();
         return giveUp();
       }
       sendCount += 1;
@@ -150,7 +150,7 @@
         return chooseAmong((id) => id === trialEngineId);
       }
       const taken = context.quarantine.isSuspect(call.requestKey)
-        ? context.quarantine.listTaken(call.requestKey)
+        ? context.quarantine.listWithRecentSuspects(call.requestKey)
         : [];
       return chooseAmong((id) => !taken.includes(id)) ?? chooseAmong();
     }
@@ -158,16 +158,16 @@
     function chooseAmong(
       isAllowed: (engineId: string) => boolean = () => true,
     ): EngineView | undefined {
-      const usable = listSendable(call, context)
+      const usable = listSendableEngines(call, context)
         .filter(({ record }) => isAllowed(record.engineId));
       return chooseEngine(usable, {
         place: context.place,
         excluded,
         nowMs: now(),
         random: context.random(),
-        keptShare: getKeptShare({
+        runningShare: estimateRunningShare({
           ageMs: engines.getLoadsAgeMs(),
-          usualMs: context.usualTimes.getMs(service),
+          usualMs: context.responseTimes.getMeanMs(service),
         }),
       });
     }
@@ -179,7 +179,7 @@
       const { notices } = context;
       const backOffLeftMs = getBackOffWaitMs({ engines, notices, service });
       if (backOffLeftMs !== undefined) {
-        const waitMs = spreadReturnMs(backOffLeftMs, context.random());
+        const waitMs = jitterRetryAfterMs(backOffLeftMs, context.random());
         return refusals.refuseForBackOff(waitMs);
       }
       const leftMs = getLimitWaitMs(call, context);
@@ -241,8 +241,8 @@
         engines.suspect(engineId, how.reason);
         return retry();
       }
-      if (head?.load !== undefined) engine.toldLoad = head.load;
-      if (how.type === "complete" && head?.saysNotRun) {
+      if (head?.load !== undefined) engine.reportedLoad = head.load;
+      if (how.type === "complete" && head?.reportsNotRun) {
         metrics.countRetry("upstream_refused");
         const { status, backOffMs } = head;
         const tookMs = Math.round(now() - sentMs);
@@ -259,7 +259,7 @@
       }
       runCount += 1;
       const tookMs = now() - sentMs;
-      context.usualTimes.noteAnswer(service, { tookMs });
+      context.responseTimes.noteAnswer(service, { tookMs });
       const isComplete = how.type === "complete" && head !== undefined &&
         (head.isSigned || head.status >= 300);
       const failed = !isComplete || head.status >= FIRST_SERVER_ERROR;
@@ -300,7 +300,7 @@
     ): Promise<void> {
       if (how.type !== "broken") return;
       const run = { upstream, sentMs, firstEventMs: undefined };
-      await findUpstreamEnd(call, context, run);
+      await detectUpstreamCrash(call, context, run);
     }
 
     next();
--- a/src/gateway/serve_stream_call.ts
+++ b/src/gateway/serve_stream_call.ts
@@ -8,37 +8,37 @@
 import { getCallModel, getCallTokens } from "./choose_call_path.ts";
 import { chooseRunPath } from "./choose_run_path.ts";
 import { createCallEnd } from "./create_call_end.ts";
-import { createLaterRefusals } from "./create_later_refusals.ts";
-import { createRoomWait } from "./create_room_wait.ts";
+import { createRetryAfterRefusals } from "./create_retry_after_refusals.ts";
+import { createCapacityWait } from "./create_capacity_wait.ts";
 import {
   createRunPermit,
-  type HeldAnswer,
-  holdBack,
+  type HeldDecision,
   PERMIT_POLL_MS,
+  refuseHeldCall,
 } from "./create_run_permit.ts";
 import { createRunRecord } from "./create_run_record.ts";
 import { createRunMigrator } from "./create_run_migrator.ts";
-import { REFUSES_CONNECTIONS } from "./create_run_watch.ts";
+import { REFUSES_CONNECTIONS } from "./create_run_monitor.ts";
 import { createSendWaits } from "./create_send_waits.ts";
-import { createTryPayment } from "./create_try_payment.ts";
-import type { ExchangeEnd } from "./create_exchanger.ts";
+import { createAttemptCharge } from "./create_attempt_charge.ts";
+import type { ExchangeEnd } from "./create_upstream_transport.ts";
 import { createStreamRelay } from "./create_stream_relay.ts";
 import {
-  findUpstreamEnd,
+  detectUpstreamCrash,
   hasJustBegun,
   isProved,
-} from "./find_upstream_end.ts";
+} from "./detect_upstream_crash.ts";
 import { noteWithheld } from "./note_withheld.ts";
 import type { AddressedPart, UpstreamHead } from "./protocol.ts";
 import type { SendGrant } from "./create_rate_limits.ts";
 import { requestGrant } from "./request_grant.ts";
-import { spreadReturnMs } from "./spread_return_ms.ts";
+import { jitterRetryAfterMs } from "./jitter_retry_after_ms.ts";
 import {
   startStreamRun,
   type StreamRun,
   type StreamRunEnd,
 } from "./start_stream_run.ts";
-import { takeRefusal } from "./take_refusal.ts";
+import { handleRefusal } from "./handle_refusal.ts";
 import type { Call, ServingContext } from "./types.ts";
 
 /** Maximum number of sends of one call, including the ones that an upstream rejects. */
@@ -72,9 +72,9 @@
     const runRecord = createRunRecord({
       maxAttempts: route.maxAttempts,
       engines,
-      endCheck: context.endCheck,
+      livenessCheck: context.livenessCheck,
     });
-    const payment = createTryPayment(() => context.budget.spend(service));
+    const payment = createAttemptCharge(() => context.budget.spend(service));
     let sendCount = 0;
     let runCount = 0;
     let isAdmitted = request.lastEventId !== undefined;
@@ -88,7 +88,7 @@
       response,
       lastEventId: request.lastEventId,
       onPause: (pauseMs) =>
-        context.pauses.recordPause({
+        context.pauseTracker.recordPause({
           pauseMs,
           toleratedMs: route.gapObjectiveMs,
           path: run?.path ?? [],
@@ -98,13 +98,13 @@
       now,
     });
     let stopMonitoring = () => {};
-    const roomWait = createRoomWait(call, context);
+    const roomWait = createCapacityWait(call, context);
     const permit = createRunPermit(call, context);
     const waits = createSendWaits({
-      roomWait,
+      capacityWait: roomWait,
       relay,
       hasBegun: () => response.headersSent,
-      onLook: next,
+      onCheck: next,
       onGiveUp: giveUp,
     });
     const callEnd = createCallEnd({
@@ -122,7 +122,7 @@
       onDeadline: endAtDeadline,
     });
 
-    const refusals = createLaterRefusals(call, context, {
+    const refusals = createRetryAfterRefusals(call, context, {
       callEnd,
       getProgress: () => ({ tries: sendCount, runs: runCount }),
     });
@@ -161,7 +161,7 @@
       // The deadline timer does not advance while the machine is suspended.
       if (now() >= call.deadlineMs) return endAtDeadline();
       if (sendCount >= MAX_SENDS) return giveUp("too many tries");
-      const answer = permit.ask({ excluded });
+      const answer = permit.request({ excluded });
       if (answer.type === "held") return endHeld(answer);
       if (answer.type === "wait") return void setTimeout(next, PERMIT_POLL_MS);
       const retryAfterMs = isAdmitted ? undefined : admitCall(call, context);
@@ -170,23 +170,23 @@
       }
       isAdmitted = true;
       const isNew = runCount === 0 && request.lastEventId === undefined;
-      if (isNew && !roomWait.isFirst()) return waits.waitForRoom();
+      if (isNew && !roomWait.isFirst()) return waits.waitForCapacity();
       const choice = chooseRunPath(call, context, {
         excluded,
         trialEngineId: answer.trialEngineId,
         need: { tokens, isNew },
       });
-      if (choice.type === "full" && isNew) return waits.waitForRoom();
+      if (choice.type === "full" && isNew) return waits.waitForCapacity();
       if (choice.type === "resting") return waitForBackOff(choice.leftMs);
       if (choice.type === "limited") return waitForLimit(choice.leftMs);
       if (choice.type !== "path") return waitForPath();
       const { path } = choice;
       const [{ engineId }] = path;
-      const grant = context.rateLimits.take(engineId);
+      const grant = context.rateLimits.takeGrant(engineId);
       if (!grant) return void requestGrant(call, context, engineId).then(next);
-      if (!payment.payNext()) {
-        grant.giveBack();
-        return waits.waitForRepeats();
+      if (!payment.chargeNext()) {
+        grant.release();
+        return waits.waitForRetryBudget();
       }
       waits.noteSent();
       sendCount += 1;
@@ -202,7 +202,7 @@
     // received nothing yet is rejected at once instead of being kept waiting.
     function waitForBackOff(leftMs: number): void {
       if (response.headersSent || runCount > 0) return waitUntilUsable(leftMs);
-      refusals.refuseForBackOff(spreadReturnMs(leftMs, context.random()));
+      refusals.refuseForBackOff(jitterRetryAfterMs(leftMs, context.random()));
     }
 
     function waitForLimit(leftMs: number): void {
@@ -220,9 +220,9 @@
       next();
     }
 
-    function endHeld(held: HeldAnswer): void {
+    function endHeld(held: HeldDecision): void {
       const hasRun = response.headersSent || runCount > 0;
-      holdBack(call, context, { callEnd, held, hasRun });
+      refuseHeldCall(call, context, { callEnd, held, hasRun });
     }
 
     function giveUp(reason: string): void {
@@ -238,7 +238,7 @@
       callEnd.refuse({
         status: 503,
         reason: "no_upstream",
-        retryAfterMs: context.returns.getWaitMs(service),
+        retryAfterMs: context.retryAfterSchedule.getWaitMs(service),
       });
     }
 
@@ -290,7 +290,7 @@
     function recordAbandonedRun({ path, firstEventMs }: StreamRun): void {
       if (!hasJustBegun({ firstEventMs }, now())) return;
       const { requestKey } = call;
-      context.leftRuns.note({ requestKey, engineId: path[0].engineId });
+      context.abandonedRuns.note({ requestKey, engineId: path[0].engineId });
     }
 
     function recordProof(sent: StreamRun): void {
@@ -303,7 +303,7 @@
       stopMonitoring();
       // Only a resumable stream can be moved off an engine.
       if (!isResumable) return;
-      stopMonitoring = context.runWatch.add({
+      stopMonitoring = context.runMonitor.add({
         isLayered: model !== undefined,
         getPath: () => sent.path,
         hasBegun: () => sent.hasBegun,
@@ -347,7 +347,7 @@
         engines.suspect(faultyEngineId, how.reason);
         return retry();
       }
-      if (how.type === "complete" && head?.saysNotRun) {
+      if (how.type === "complete" && head?.reportsNotRun) {
         return handleNotRun(sent, head);
       }
       runCount += 1;
@@ -375,7 +375,7 @@
       end: Pick<StreamRunEnd, "how" | "body">,
     ): Promise<void> {
       await endChecked;
-      if (!runRecord.mayRunElsewhere()) await runRecord.checkEnds();
+      if (!runRecord.mayRunElsewhere()) await runRecord.detectCrashes();
       if (callEnd.hasEnded()) return;
       if (runRecord.mayRunElsewhere()) {
         metrics.count("streams.resumed");
@@ -435,11 +435,15 @@
       const { path, failedEngineId: lostEngineId, sentMs, firstEventMs } = sent;
       const failedPart = path.find((part) => part.engineId === lostEngineId);
       const upstream = failedPart ?? path[0];
-      await findUpstreamEnd(call, context, { upstream, sentMs, firstEventMs });
+      await detectUpstreamCrash(call, context, {
+        upstream,
+        sentMs,
+        firstEventMs,
+      });
     }
 
     function handleNotRun(sent: StreamRun, head: UpstreamHead): void {
-      excluded.add(takeRefusal(call, context, { sent, head }));
+      excluded.add(handleRefusal(call, context, { sent, head }));
       metrics.countRetry("upstream_refused");
       retry();
     }
--- a/src/gateway/start_call_exchange.ts
+++ b/src/gateway/start_call_exchange.ts
@@ -4,7 +4,7 @@
  * @module
  */
 
-import type { Exchange, ExchangeOptions } from "./create_exchanger.ts";
+import type { Exchange, ExchangeOptions } from "./create_upstream_transport.ts";
 import type { SendGrant } from "./create_rate_limits.ts";
 import type { AddressedPart } from "./protocol.ts";
 import type { Call, ServingContext } from "./types.ts";
@@ -50,7 +50,7 @@
     notices.getBackOffLeftMs(one) === 0 && !notices.isLeaving(one);
   const sentMs = context.now();
   const remainingMs = Math.floor(call.deadlineMs - sentMs);
-  return context.exchanger.start({
+  return context.upstreamClient.start({
     engineId,
     address,
     method: request.method,
@@ -70,16 +70,16 @@
     onHead(head) {
       const { limitPerS } = head;
       // A rejection may come from a proxy in front of the engine, which knows no limit.
-      if (limitPerS !== undefined && !head.saysNotRun) {
-        rateLimits.takeAnswer(engineId, { limitPerS, sentMs });
+      if (limitPerS !== undefined && !head.reportsNotRun) {
+        rateLimits.noteAnswer(engineId, { limitPerS, sentMs });
       }
-      reportSendEnd({ isTaken: !head.saysNotRun });
+      reportSendEnd({ isAccepted: !head.reportsNotRun });
       options.onHead(head);
     },
     onData,
     onEnd(end) {
-      reportSendEnd({ isTaken: false });
-      if (end.type === "notSent" || end.type === "withheld") grant.giveBack();
+      reportSendEnd({ isAccepted: false });
+      if (end.type === "notSent" || end.type === "withheld") grant.release();
       options.onEnd(end);
     },
   });
--- a/src/gateway/start_gateway.ts
+++ b/src/gateway/start_gateway.ts
@@ -17,31 +17,31 @@
   listenForCallers,
 } from "./create_caller_server.ts";
 import { createConfigLease } from "./create_config_lease.ts";
-import { createEndCheck } from "./create_end_check.ts";
+import { createLivenessCheck } from "./create_liveness_check.ts";
 import { createEngineNotices } from "./create_engine_notices.ts";
 import { createEngineTable } from "./create_engine_table.ts";
-import { createEndRate } from "./create_end_rate.ts";
+import { createStreamEndRate } from "./create_stream_end_rate.ts";
 import { createFleetRates } from "./create_fleet_rates.ts";
-import { createExchanger } from "./create_exchanger.ts";
+import { createUpstreamTransport } from "./create_upstream_transport.ts";
 import { createGatewayList } from "./create_gateway_list.ts";
-import { createHeldConfig } from "./create_held_config.ts";
-import { createFleetLink } from "./create_fleet_link.ts";
-import { createLeftRuns } from "./create_left_runs.ts";
-import { createLossNews } from "./create_loss_news.ts";
-import { createPauseWatch } from "./create_pause_watch.ts";
+import { createActiveConfig } from "./create_active_config.ts";
+import { createLeaderLink } from "./create_leader_link.ts";
+import { createAbandonedRuns } from "./create_abandoned_runs.ts";
+import { createLostEngineReports } from "./create_lost_engine_reports.ts";
+import { createPauseTracker } from "./create_pause_tracker.ts";
 import { createQuarantine } from "./create_quarantine.ts";
 import { createRateLimits } from "./create_rate_limits.ts";
-import { createRepeatBudget } from "./create_repeat_budget.ts";
+import { createGatewayRetryBudget } from "./create_gateway_retry_budget.ts";
 import { createRequestHandler } from "./create_request_handler.ts";
 import { createBackOffThrottle } from "./create_back_off_throttle.ts";
-import { createReturnSchedule } from "./create_return_schedule.ts";
-import { createRoomQueues } from "./create_room_queue.ts";
-import { createRunWatch } from "./create_run_watch.ts";
-import { createStallWatch } from "./create_stall_watch.ts";
-import { createUsualTimes } from "./create_usual_times.ts";
+import { createRetryAfterSchedule } from "./create_retry_after_schedule.ts";
+import { createCapacityQueues } from "./create_capacity_queue.ts";
+import { createRunMonitor } from "./create_run_monitor.ts";
+import { createStallReports } from "./create_stall_reports.ts";
+import { createResponseTimes } from "./create_response_times.ts";
 import type { CallerCodec, EngineControl } from "./protocol.ts";
 import { getLimitIntervalMs } from "./get_limit_interval_ms.ts";
-import { getLastCallMs } from "./get_last_call_ms.ts";
+import { getDrainAdmissionMs } from "./get_drain_admission_ms.ts";
 import { startGauges } from "./start_gauges.ts";
 import type { ServingContext } from "./types.ts";
 
@@ -54,7 +54,7 @@
   /** Ms from the acceptance of a change until a key that it removes must be refused. */
   readonly revokeMs: number;
   /** Limits of the retry budget that all gateways share. */
-  readonly repeats: {
+  readonly retryBudget: {
     readonly ratio: number;
     readonly extra: number;
     readonly windowMs: number;
@@ -145,90 +145,90 @@
     gateways.list().length || DEFAULT_GATEWAY_COUNT;
   const rateLimits = createRateLimits({
     requestGrants: (counts, askedMs) => link.requestGrants(counts, askedMs),
-    onNews: () => link.scheduleHeartbeat(),
+    onReportDue: () => link.scheduleHeartbeat(),
     getGatewayCount: getSharingGatewayCount,
     now,
     log,
     metrics,
   });
-  const exchanger = createExchanger(codec, { onNotice: handleNotice });
+  const exchanger = createUpstreamTransport(codec, { onNotice: handleNotice });
   const engines = createEngineTable({
     now,
     log,
-    onGone: exchanger.forget,
+    onRemoved: exchanger.removeUpstream,
     notices,
   });
-  const config = createHeldConfig({
+  const config = createActiveConfig({
     decodeConfig: options.decodeConfig,
     onChange({ limits }) {
       server.server.keepAliveTimeout = limits.idleTimeoutMs + IDLE_MARGIN_MS;
     },
     // The hello of the next session reports no version, so the leader sends the whole
     // configuration.
-    onUnfit: () => link.reconnect(),
+    onBaseMismatch: () => link.reconnect(),
     now,
     log,
     metrics,
   });
-  const lostEngineReports = createLossNews({ vm, place, listReady });
-  const pauses = createPauseWatch();
-  const endRate = createEndRate({ now });
+  const lostEngineReports = createLostEngineReports({ vm, place, listReady });
+  const pauses = createPauseTracker();
+  const endRate = createStreamEndRate({ now });
   const getGatewayCount = () => Math.max(1, listReady().length);
   const rates = createFleetRates({
     getOwnEndIntervalMs: endRate.getIntervalMs,
     getGatewayCount,
     now,
   });
-  const budget = createRepeatBudget({
-    ...settings.repeats,
+  const budget = createGatewayRetryBudget({
+    ...settings.retryBudget,
     getGatewayCount: getSharingGatewayCount,
-    onShort: requestRetryLoan,
+    onExhausted: requestRetryLoan,
     now: steadyNow,
     elapsedNow: now,
   });
   const quarantine = createQuarantine({
-    onNews: () => link.scheduleHeartbeat(),
+    onUpdateDue: () => link.scheduleHeartbeat(),
     now,
   });
   const context: ServingContext = {
     place,
     codec,
     engineControl: options.engineControl,
-    pauses,
-    runWatch: createRunWatch({
+    pauseTracker: pauses,
+    runMonitor: createRunMonitor({
       engineControl: options.engineControl,
-      onLost: reportFailedEngine,
-      getAskerRank: lostEngineReports.getAskerRank,
-      onPace: engines.notePace,
+      onEngineFailed: reportFailedEngine,
+      getProbeRank: lostEngineReports.getProbeRank,
+      onPace: engines.noteSlowness,
       onNotice: handleNotice,
-      mayAsk: notices.takeQuestion,
+      mayProbe: notices.acquireProbe,
       now,
     }),
-    stallWatch: createStallWatch({
+    stallReports: createStallReports({
       engineControl: options.engineControl,
       onNotice: handleNotice,
-      mayAsk: notices.takeQuestion,
+      mayQuery: notices.acquireProbe,
       now,
     }),
     engines,
     notices,
     rateLimits,
     throttle: createBackOffThrottle({ now: steadyNow }),
-    usualTimes: createUsualTimes(),
-    exchanger,
-    endCheck: createEndCheck({ now }),
+    responseTimes: createResponseTimes(),
+    upstreamClient: exchanger,
+    livenessCheck: createLivenessCheck({ now }),
     quarantine,
-    leftRuns: createLeftRuns({ now }),
+    abandonedRuns: createAbandonedRuns({ now }),
     budget,
     endRate,
     rates,
-    returns: createReturnSchedule({
+    retryAfterSchedule: createRetryAfterSchedule({
       getEndIntervalMs: rates.getEndIntervalMs,
       getGatewayCount,
       now,
       random: Math.random,
     }),
-    limitReturns: createReturnSchedule({
+    limitRetryAfterSchedule: createRetryAfterSchedule({
       getEndIntervalMs: (service) =>
         getLimitIntervalMs({ engines, rateLimits }, service),
       leastWaitMs: 0,
@@ -236,7 +236,7 @@
       now,
       random: Math.random,
     }),
-    getRoomQueue: createRoomQueues(rates),
+    getCapacityQueue: createCapacityQueues(rates),
     getTable: config.getTable,
     getGatewayCount,
     listGatewayPlaces: () => listReady().map((one) => one.place),
@@ -253,16 +253,16 @@
 
   function reportFailedEngine(engineId: string, reason: string): void {
     engines.suspect(engineId, reason);
-    lostEngineReports.note(engineId);
+    lostEngineReports.add(engineId);
     link.scheduleHeartbeat();
   }
 
   // A leave that the leader may not know is reported to it at once.
   function handleNotice(engineId: string, notice: EngineNotice): void {
     const isNewLeave = notice.isLeaving && !engines.isLeaving(engineId);
-    notices.take(engineId, notice);
+    notices.record(engineId, notice);
     const { limitPerS } = notice;
-    if (limitPerS !== undefined) rateLimits.takeAnswer(engineId, { limitPerS });
+    if (limitPerS !== undefined) rateLimits.noteAnswer(engineId, { limitPerS });
     if (isNewLeave) link.scheduleHeartbeat();
   }
 
@@ -276,53 +276,53 @@
   function handleMessage(message: LeaderMessage): void {
     switch (message.type) {
       case "config":
-        return config.take(message);
+        return config.applyFull(message);
       case "configChange":
-        return config.takeChange(message);
+        return config.applyChange(message);
       case "engines":
         knowsEngines = true;
-        return engines.take(message);
+        return engines.applyUpdate(message);
       case "loads":
-        rates.take(message.activity);
-        return engines.takeLoads(message.loads);
+        rates.update(message.activity);
+        return engines.updateLoads(message.loads);
       case "gateways":
-        return gateways.take(message);
+        return gateways.update(message);
       case "lost":
-        message.engineIds.forEach(engines.takeLost);
-        return context.runWatch.takeLost(message.engineIds);
+        message.engineIds.forEach(engines.excludeLost);
+        return context.runMonitor.handleFailureReport(message.engineIds);
       case "repeatsLent":
-        return budget.takeLoan(message);
+        return budget.addLoan(message);
       case "limits":
-        return rateLimits.takeTold(message.limits);
+        return rateLimits.applyLimits(message.limits);
       case "grants":
-        return rateLimits.takeGrants(message);
+        return rateLimits.applyGrants(message);
       case "cases":
-        return quarantine.takeCases(message);
+        return quarantine.applyCases(message);
       case "trial":
-        return quarantine.takeGrant(message);
+        return quarantine.addTrialGrant(message);
     }
   }
 
-  const link = createFleetLink({
+  const link = createLeaderLink({
     getSeedAddresses: options.getSeedAddresses,
     getGateway: () => ({ vm, place, address, isReady: isReady() }),
     getGatewayCount: () => gateways.list().length,
-    getVersion: config.getToldVersion,
+    getVersion: config.getBaseVersion,
     takeSuspects: engines.takeSuspects,
-    takeLost: lostEngineReports.take,
-    takeSlow: pauses.takeSlow,
-    listLeaves: engines.listUntoldLeaves,
+    takeLostEngines: lostEngineReports.take,
+    takeSlowEngines: pauses.takeSlowEngines,
+    listUnreportedLeaving: engines.listUnreportedLeaving,
     getLoads: engines.getLoads,
-    getRepeatsWanted: budget.getWanted,
-    takeActivity: rates.takeOwn,
-    getQuarantineNews: quarantine.getTold,
+    getWantedLoans: budget.getWantedLoans,
+    takeActivity: rates.takeOwnActivity,
+    collectQuarantineUpdate: quarantine.collectUpdate,
     takeLimitReports: rateLimits.takeReports,
     onWelcome({ cases, limits }) {
-      quarantine.takeWhole(cases);
-      rateLimits.takeWhole(limits);
+      quarantine.replaceCases(cases);
+      rateLimits.syncLimits(limits);
     },
     onMessage: handleMessage,
-    onConfirmed: (sentMs, version) =>
+    onVersionConfirmed: (sentMs, version) =>
       lease.confirm({ sentMs, version, held: config.getVersion() }),
     now,
     random: Math.random,
@@ -364,7 +364,7 @@
     link.beat();
     // Callers keep using open connections and the addresses that they have resolved,
     // so requests are admitted for a while longer.
-    const drainAdmissionMs = getLastCallMs(settings.graceMs);
+    const drainAdmissionMs = getDrainAdmissionMs(settings.graceMs);
     while (now() - startedMs < drainAdmissionMs) {
       await sleep(20);
       const isPropagated = now() - startedMs > LEAVE_PROPAGATION_MS;
--- a/src/gateway/start_gauges.ts
+++ b/src/gateway/start_gauges.ts
@@ -7,7 +7,7 @@
 import type { Metrics } from "../metrics/index.ts";
 import type { ConfigLease } from "./create_config_lease.ts";
 import type { EngineTable } from "./create_engine_table.ts";
-import type { HeldConfig } from "./create_held_config.ts";
+import type { ActiveConfig } from "./create_active_config.ts";
 import type { RequestHandler } from "./create_request_handler.ts";
 import type { ServingContext } from "./types.ts";
 
@@ -16,7 +16,7 @@
   extends Pick<ServingContext, "notices" | "rateLimits" | "quarantine"> {
   readonly metrics: Pick<Metrics, "gauge">;
   readonly requestHandler: Pick<RequestHandler, "getInFlight">;
-  readonly config: Pick<HeldConfig, "getVersion">;
+  readonly config: Pick<ActiveConfig, "getVersion">;
   readonly lease: Pick<ConfigLease, "getLeftMs">;
   readonly engines: Pick<EngineTable, "get" | "getSize">;
 }
--- a/src/gateway/start_stream_run.ts
+++ b/src/gateway/start_stream_run.ts
@@ -5,7 +5,7 @@
  */
 
 import { Buffer } from "node:buffer";
-import type { ExchangeEnd } from "./create_exchanger.ts";
+import type { ExchangeEnd } from "./create_upstream_transport.ts";
 import type { AddressedPart, UpstreamHead } from "./protocol.ts";
 import { createEventSplitter, type StreamEvent } from "./split_events.ts";
 import type { SendGrant } from "./create_rate_limits.ts";
@@ -89,7 +89,7 @@
   const splitter = createEventSplitter();
   const chunks: Buffer[] = [];
   engines.addWork(path, { tokens });
-  const endPromptWork = engines.beginPrompt(path);
+  const endPromptWork = engines.beginPrefill(path);
 
   function handleData(chunk: Buffer): void {
     if (!isStream()) return void chunks.push(chunk);
--- a/src/gateway/types.ts
+++ b/src/gateway/types.ts
@@ -10,22 +10,22 @@
 import type { Metrics } from "../metrics/index.ts";
 import type { Account, Route, RouteTable } from "../routes/index.ts";
 import type { EngineTable } from "./create_engine_table.ts";
-import type { EndRate } from "./create_end_rate.ts";
+import type { StreamEndRate } from "./create_stream_end_rate.ts";
 import type { FleetRates } from "./create_fleet_rates.ts";
 import type { EngineNotices } from "./create_engine_notices.ts";
-import type { EndCheck } from "./create_end_check.ts";
-import type { Exchanger } from "./create_exchanger.ts";
-import type { LeftRuns } from "./create_left_runs.ts";
-import type { PauseWatch } from "./create_pause_watch.ts";
+import type { LivenessCheck } from "./create_liveness_check.ts";
+import type { UpstreamTransport } from "./create_upstream_transport.ts";
+import type { AbandonedRuns } from "./create_abandoned_runs.ts";
+import type { PauseTracker } from "./create_pause_tracker.ts";
 import type { Quarantine } from "./create_quarantine.ts";
 import type { RateLimits } from "./create_rate_limits.ts";
-import type { RepeatBudget } from "./create_repeat_budget.ts";
+import type { GatewayRetryBudget } from "./create_gateway_retry_budget.ts";
 import type { BackOffThrottle } from "./create_back_off_throttle.ts";
-import type { ReturnSchedule } from "./create_return_schedule.ts";
-import type { RoomQueue } from "./create_room_queue.ts";
-import type { RunWatch } from "./create_run_watch.ts";
-import type { StallWatch } from "./create_stall_watch.ts";
-import type { UsualTimes } from "./create_usual_times.ts";
+import type { RetryAfterSchedule } from "./create_retry_after_schedule.ts";
+import type { CapacityQueue } from "./create_capacity_queue.ts";
+import type { RunMonitor } from "./create_run_monitor.ts";
+import type { StallReports } from "./create_stall_reports.ts";
+import type { ResponseTimes } from "./create_response_times.ts";
 import type { CallerCodec, CallerRequest, EngineControl } from "./protocol.ts";
 
 /** An admitted request, with the decisions made about it. */
@@ -49,9 +49,9 @@
   readonly place: string;
   readonly codec: CallerCodec;
   readonly engineControl: EngineControl;
-  readonly pauses: PauseWatch;
-  readonly runWatch: RunWatch;
-  readonly stallWatch: StallWatch;
+  readonly pauseTracker: PauseTracker;
+  readonly runMonitor: RunMonitor;
+  readonly stallReports: StallReports;
   readonly engines: EngineTable;
   /** State that upstreams reported in responses to this gateway. */
   readonly notices: EngineNotices;
@@ -60,19 +60,19 @@
   /** Limits admission to the capacity left while many upstreams are backed off. */
   readonly throttle: BackOffThrottle;
   /** Typical response times. */
-  readonly usualTimes: UsualTimes;
-  readonly exchanger: Exchanger;
-  readonly endCheck: EndCheck;
+  readonly responseTimes: ResponseTimes;
+  readonly upstreamClient: UpstreamTransport;
+  readonly livenessCheck: LivenessCheck;
   readonly quarantine: Quarantine;
-  readonly leftRuns: LeftRuns;
-  readonly budget: RepeatBudget;
-  readonly endRate: EndRate;
+  readonly abandonedRuns: AbandonedRuns;
+  readonly budget: GatewayRetryBudget;
+  readonly endRate: StreamEndRate;
   readonly rates: FleetRates;
-  readonly returns: ReturnSchedule;
+  readonly retryAfterSchedule: RetryAfterSchedule;
   /** Retry times of callers that found all upstreams at their rate limits. */
-  readonly limitReturns: ReturnSchedule;
+  readonly limitRetryAfterSchedule: RetryAfterSchedule;
   /** Queue of new streams of a service that wait for capacity. */
-  readonly getRoomQueue: (service: string) => RoomQueue;
+  readonly getCapacityQueue: (service: string) => CapacityQueue;
   readonly getTable: () => RouteTable | undefined;
   /** Number of ready gateways, including this one. */
   readonly getGatewayCount: () => number;
--- a/src/http/secrets.ts
+++ b/src/http/secrets.ts
@@ -30,7 +30,7 @@
  * @example
  * isSameHash(hashSecret(token), operator.spec.tokenSha256);
  */
-export function isSameSecret(a: string, b: string): boolean {
+export function isSameHash(a: string, b: string): boolean {
   const left = Buffer.from(a, "hex");
   const right = Buffer.from(b, "hex");
   return left.length === right.length && timingSafeEqual(left, right);
--- a/src/http/limit_time.ts
+++ b/src/http/with_timeout.ts
@@ -37,7 +37,7 @@
  * @example
  * const report = await withTimeout(readReport(), { timeoutMs: 250 });
  */
-export async function limitTime<Value>(
+export async function withTimeout<Value>(
   promise: Promise<Value>,
   options: { timeoutMs: number },
 ): Promise<Value> {
--- a/src/http/limit_time_test.ts
+++ b/src/http/with_timeout_test.ts
@@ -3,16 +3,16 @@
 import { Agent, request } from "undici";
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { limitTime, TimeLimitError } from "./limit_time.ts";
+import { TimeLimitError, withTimeout } from "./with_timeout.ts";
 
 test("a value in time is passed on", async () => {
-  assert.is(await limitTime(Promise.resolve(3), { timeoutMs: 1_000 }), 3);
+  assert.is(await withTimeout(Promise.resolve(3), { timeoutMs: 1_000 }), 3);
 });
 
 test("a rejection in time is passed on", async () => {
   const failing = Promise.reject(new RangeError("no"));
   try {
-    await limitTime(failing, { timeoutMs: 1_000 });
+    await withTimeout(failing, { timeoutMs: 1_000 });
     assert.unreachable();
   } catch (error) {
     assert.instance(error, RangeError);
@@ -27,7 +27,7 @@
   const { port } = server.address() as AddressInfo;
   const unanswered = request(`http://127.0.0.1:${port}/`);
   try {
-    await limitTime(unanswered, { timeoutMs: 30 });
+    await withTimeout(unanswered, { timeoutMs: 30 });
     assert.unreachable();
   } catch (error) {
     assert.instance(error, TimeLimitError);
@@ -48,7 +48,7 @@
     request(`http://127.0.0.1:${port}/`, { dispatcher });
   const first = await sendRequest();
   await first.body.dump();
-  const answer = limitTime(sendRequest(), { timeoutMs: 10 });
+  const answer = withTimeout(sendRequest(), { timeoutMs: 10 });
   await new Promise((done) => setImmediate(done));
   const untilMs = performance.now() + 40;
   while (performance.now() < untilMs);
--- a/src/layers/choose_redistribution.ts
+++ b/src/layers/choose_redistribution.ts
@@ -7,7 +7,7 @@
 import { listHolders } from "./_lib/list_holders.ts";
 import { makeCover } from "./layer_cover.ts";
 import { findTokensInFlight } from "./token_capacity.ts";
-import type { LayerEngine, LayerFigures, LayerOrder } from "./types.ts";
+import type { LayerEngine, LayerOrder, ModelProfile } from "./types.ts";
 
 /** Engines that together hold one or more complete copies of a model. */
 export interface EngineGroup {
@@ -29,12 +29,12 @@
  * other groups hold all layers, "lost" if all layers are held now but would not be
  * during the redistribution, "none" if some layers have no holder even now.
  */
-export type SpreadCover = "others" | "lost" | "none";
+export type CoverDuringRedistribution = "others" | "lost" | "none";
 
 /** Decides whether to redistribute a group with a gap that no move of an engine can fill. */
 export type MayRedistribute = (
   place: string,
-  options: { readonly cover: SpreadCover },
+  options: { readonly cover: CoverDuringRedistribution },
 ) => boolean;
 
 /**
@@ -54,17 +54,17 @@
 export function chooseRedistribution(
   plans: readonly GroupPlan[],
   options: {
-    readonly figures: LayerFigures;
-    readonly mayRespread: MayRedistribute;
+    readonly profile: ModelProfile;
+    readonly mayRedistribute: MayRedistribute;
   },
 ): GroupPlan | undefined {
-  const { figures: profile, mayRespread } = options;
+  const { profile: profile, mayRedistribute: mayRedistribute } = options;
   const repairable = plans.filter(({ group, hasGaps }) =>
     hasGaps && findTokensInFlight(group.engines, profile) !== undefined
   );
   const allowed = new Set(
     repairable.filter(({ group }) =>
-      mayRespread(group.name, {
+      mayRedistribute(group.name, {
         cover: getCoverDuringRedistribution(group, { plans, profile }),
       })
     ),
@@ -78,8 +78,8 @@
 
 function getCoverDuringRedistribution(
   group: EngineGroup,
-  context: { plans: readonly GroupPlan[]; profile: LayerFigures },
-): SpreadCover {
+  context: { plans: readonly GroupPlan[]; profile: ModelProfile },
+): CoverDuringRedistribution {
   const { plans, profile: { layers } } = context;
   const loaded = plans
     .flatMap((plan) => plan.group.engines)
--- a/src/layers/design_copies.ts
+++ b/src/layers/design_copies.ts
@@ -10,12 +10,12 @@
   type LayerHolder,
   makeCover,
 } from "./layer_cover.ts";
-import { findTokensInFlight, getLayerRoom } from "./token_capacity.ts";
-import type { LayerEngine, LayerFigures, LayerOrder } from "./types.ts";
+import { findTokensInFlight, getLayerCapacity } from "./token_capacity.ts";
+import type { LayerEngine, LayerOrder, ModelProfile } from "./types.ts";
 
 /** The fields of a model that determine the time of a step. */
 export type StepProfile = Pick<
-  LayerFigures,
+  ModelProfile,
   | "stepMs"
   | "requestStepMs"
   | "contextStepMs"
@@ -73,7 +73,7 @@
  */
 export function designCopies(
   engines: readonly DesignEngine[],
-  profile: LayerFigures,
+  profile: ModelProfile,
 ): readonly CopyDesign[] {
   let best: readonly CopyDesign[] = [];
   let bestRate = -1;
@@ -107,7 +107,7 @@
     readonly cover: LayerCover;
     readonly copies: number;
     readonly tokens: number;
-    readonly profile: LayerFigures;
+    readonly profile: ModelProfile;
   },
 ): LayerOrder[] {
   const { cover, copies, tokens, profile } = options;
@@ -123,7 +123,7 @@
   });
   const orders: LayerOrder[] = [];
   for (const { engineId, memoryMb, stepFactor } of sortBySpeed(engines)) {
-    const layerCapacity = getLayerRoom(memoryMb, profile, { tokens });
+    const layerCapacity = getLayerCapacity(memoryMb, profile, { tokens });
     const window = chooser.choose({ stepFactor, layerCapacity });
     if (!window) continue;
     const { fromLayer, toLayer } = window;
@@ -200,13 +200,13 @@
 
 function designCopy(
   engines: readonly DesignEngine[],
-  profile: LayerFigures,
+  profile: ModelProfile,
 ): RatedDesign | undefined {
   const maxTokens = findTokensInFlight(engines, profile);
   if (maxTokens === undefined) return undefined;
   const usableTokens = Math.min(
     maxTokens,
-    profile.slots * getUsualTokens(profile),
+    profile.slots * getMeanRequestTokens(profile),
   );
   const designs = TOKEN_CAPACITY_SHARES.map((share) =>
     rateDesign(engines, { tokens: share * usableTokens, profile })
@@ -216,7 +216,7 @@
 
 function rateDesign(
   engines: readonly DesignEngine[],
-  options: { tokens: number; profile: LayerFigures },
+  options: { tokens: number; profile: ModelProfile },
 ): RatedDesign {
   const { tokens, profile } = options;
   const cover = makeCover([], profile.layers);
@@ -244,7 +244,7 @@
 
 function getMeanStepFactor(
   cover: LayerCover,
-  { layers }: LayerFigures,
+  { layers }: ModelProfile,
 ): number {
   const factors = cover.map(([fastest = Infinity]) => fastest);
   return factors.reduce((sum, factor) => sum + factor, 0) / layers;
@@ -267,9 +267,9 @@
 // requests in flight stay free, since engines reject requests when they are full.
 function getStreamRate(
   meanFactor: number,
-  { tokens, profile }: { tokens: number; profile: LayerFigures },
+  { tokens, profile }: { tokens: number; profile: ModelProfile },
 ): number {
-  const maxRequests = tokens / getUsualTokens(profile);
+  const maxRequests = tokens / getMeanRequestTokens(profile);
   const requests = Math.max(
     0,
     Math.min(profile.slots, maxRequests - 2 * Math.sqrt(maxRequests)),
@@ -292,7 +292,7 @@
   options: { readonly requests: number },
 ): number {
   const { stepMs, requestStepMs, contextStepMs } = profile;
-  const contextMs = getUsualTokens(profile) * contextStepMs;
+  const contextMs = getMeanRequestTokens(profile) * contextStepMs;
   return stepMs + options.requests * (requestStepMs + contextMs);
 }
 
@@ -303,10 +303,10 @@
  * @returns The number of tokens, at least one.
  * @throws Nothing.
  * @example
- * getUsualTokens(profile);
+ * getMeanRequestTokens(profile);
  */
-export function getUsualTokens(
-  profile: Pick<LayerFigures, "usualPromptTokens" | "usualAnswerTokens">,
+export function getMeanRequestTokens(
+  profile: Pick<ModelProfile, "usualPromptTokens" | "usualAnswerTokens">,
 ): number {
   return Math.max(1, profile.usualPromptTokens + profile.usualAnswerTokens);
 }
--- a/src/layers/layers_test.ts
+++ b/src/layers/layers_test.ts
@@ -8,8 +8,8 @@
 import { planLayerOrders } from "./plan_layer_orders.ts";
 import {
   findTokensInFlight,
-  getLayerRoom,
-  getTokenRoom,
+  getLayerCapacity,
+  getTokenCapacity,
 } from "./token_capacity.ts";
 import type { LayerEngine, LayerOrder } from "./types.ts";
 
@@ -143,8 +143,8 @@
     ...makeEngines(4, { place: "c", memoryMb: 21_600 }),
   ];
   const orders = planLayerOrders(engines, {
-    figures: PROFILE,
-    mayRespread: () => true,
+    profile: PROFILE,
+    mayRedistribute: () => true,
   });
   const inA = orders.filter(({ engineId }) => engineId.startsWith("a"));
   const inOthers = orders.filter(({ engineId }) => !engineId.startsWith("a"));
@@ -154,8 +154,8 @@
 
 function applyPlan(engines: readonly LayerEngine[]): LayerEngine[] {
   const orders = planLayerOrders(engines, {
-    figures: PROFILE,
-    mayRespread: () => true,
+    profile: PROFILE,
+    mayRedistribute: () => true,
   });
   return engines.map((engine) => ({
     ...engine,
@@ -165,7 +165,7 @@
 
 test("a complete placement needs no orders", () => {
   const engines = applyPlan(makeEngines(12));
-  const options = { figures: PROFILE, mayRespread: () => true };
+  const options = { profile: PROFILE, mayRedistribute: () => true };
   assert.equal(planLayerOrders(engines, options), []);
 });
 
@@ -188,8 +188,8 @@
     replacement,
   ];
   const orders = planLayerOrders(remaining, {
-    figures: PROFILE,
-    mayRespread: () => false,
+    profile: PROFILE,
+    mayRedistribute: () => false,
   });
   return { remaining, orders };
 }
@@ -212,8 +212,8 @@
   for (const failed of engines) {
     const remaining = engines.filter((engine) => engine !== failed);
     const orders = planLayerOrders(remaining, {
-      figures: PROFILE,
-      mayRespread: () => true,
+      profile: PROFILE,
+      mayRedistribute: () => true,
     });
     assert.equal(
       findGaps(applyOrders(remaining, orders).map(getRange), 80),
@@ -228,8 +228,8 @@
   for (const failed of small) {
     const remaining = engines.filter((engine) => engine !== failed);
     const orders = planLayerOrders(remaining, {
-      figures: PROFILE,
-      mayRespread: () => false,
+      profile: PROFILE,
+      mayRedistribute: () => false,
     });
     assert.ok(orders.length <= 1);
     assert.equal(
@@ -253,7 +253,7 @@
 test("an engine gives up layers only if another one has loaded them", () => {
   const [first, ...others] = applyPlan(makeMixedEngines());
   const remaining = others.map((engine) => ({ ...engine, isLoading: true }));
-  const options = { figures: PROFILE, mayRespread: () => false };
+  const options = { profile: PROFILE, mayRedistribute: () => false };
   assert.is(first.range?.fromLayer, 0);
   assert.equal(planLayerOrders(remaining, options), []);
 });
@@ -269,11 +269,11 @@
 test("a group without redundant engines is redistributed to fill a gap when allowed", () => {
   const engines = applyPlan(makeMinimalGroup());
   const remaining = engines.filter((_engine, at) => at !== 5);
-  const options = { figures: PROFILE, mayRespread: () => false };
+  const options = { profile: PROFILE, mayRedistribute: () => false };
   assert.equal(planLayerOrders(remaining, options), []);
   const orders = planLayerOrders(remaining, {
     ...options,
-    mayRespread: () => true,
+    mayRedistribute: () => true,
   });
   assert.equal(findGaps(applyOrders(remaining, orders).map(getRange), 80), []);
 });
@@ -286,7 +286,7 @@
   const remaining = engines.filter(({ engineId }) =>
     !/^[ab]x1$/.test(engineId)
   );
-  const options = { figures: PROFILE, mayRespread: () => true };
+  const options = { profile: PROFILE, mayRedistribute: () => true };
   const first = planLayerOrders(remaining, options);
   assert.ok(first.length > 0);
   assert.ok(first.every(({ engineId }) => engineId.startsWith("a")));
@@ -317,8 +317,8 @@
   assert.equal(findGaps(remaining.map(getRange), 80), []);
   const reported: string[] = [];
   const orders = planLayerOrders(remaining, {
-    figures: PROFILE,
-    mayRespread(_place, { cover }) {
+    profile: PROFILE,
+    mayRedistribute(_place, { cover }) {
       reported.push(cover);
       return cover !== "lost";
     },
@@ -326,8 +326,8 @@
   assert.equal(orders, []);
   assert.equal([...new Set(reported)], ["lost"]);
   const last = planLayerOrders(remaining, {
-    figures: PROFILE,
-    mayRespread: () => true,
+    profile: PROFILE,
+    mayRedistribute: () => true,
   });
   assert.ok(last.length > 0);
 });
@@ -339,8 +339,8 @@
   ]);
   const reported: string[] = [];
   const options = {
-    figures: PROFILE,
-    mayRespread(place: string, { cover }: { cover: string }) {
+    profile: PROFILE,
+    mayRedistribute(place: string, { cover }: { cover: string }) {
       reported.push(`${place} ${cover}`);
       return false;
     },
@@ -385,7 +385,7 @@
   const holders = countHolders(engines);
   assert.ok(Math.min(...holders) >= 2);
   assert.ok(engines.every(({ range }) => range !== undefined));
-  const options = { figures: PROFILE, mayRespread: () => true };
+  const options = { profile: PROFILE, mayRedistribute: () => true };
   assert.equal(planLayerOrders(engines, options), []);
 });
 
@@ -405,8 +405,8 @@
   const engines = applyPlan(makeLargeGroup());
   const remaining = engines.filter((_engine, at) => at !== 5);
   const orders = planLayerOrders(remaining, {
-    figures: PROFILE,
-    mayRespread: () => true,
+    profile: PROFILE,
+    mayRedistribute: () => true,
   });
   assert.equal(orders, []);
   assert.ok(Math.min(...countHolders(remaining)) >= 1);
@@ -420,10 +420,10 @@
 
 test("layer and token capacities of an engine agree", () => {
   for (const memoryMb of MEMORY_MB) {
-    const layerCount = getLayerRoom(memoryMb, PROFILE, { tokens: 50_000 });
-    const tokens = getTokenRoom(memoryMb, PROFILE, { layerCount });
+    const layerCount = getLayerCapacity(memoryMb, PROFILE, { tokens: 50_000 });
+    const tokens = getTokenCapacity(memoryMb, PROFILE, { layerCount });
     assert.ok(tokens >= 50_000);
-    assert.is(getLayerRoom(memoryMb, PROFILE, { tokens }), layerCount);
+    assert.is(getLayerCapacity(memoryMb, PROFILE, { tokens }), layerCount);
   }
 });
 
--- a/src/layers/move_redundant_engines.ts
+++ b/src/layers/move_redundant_engines.ts
@@ -15,15 +15,15 @@
   type LayerCover,
   makeCover,
 } from "./layer_cover.ts";
-import { getLayerRoom } from "./token_capacity.ts";
-import type { LayerEngine, LayerFigures, LayerOrder } from "./types.ts";
+import { getLayerCapacity } from "./token_capacity.ts";
+import type { LayerEngine, LayerOrder, ModelProfile } from "./types.ts";
 
 /** Options of {@link moveRedundantEngines}. */
 export interface MoveRedundantEnginesOptions {
   readonly cover: LayerCover;
   readonly copies: number;
   readonly tokens: number;
-  readonly profile: LayerFigures;
+  readonly profile: ModelProfile;
 }
 
 /**
@@ -89,7 +89,9 @@
       loadedCover.slice(range.fromLayer, range.toLayer)
         .every((held) => held.length > 1);
     if (!isRedundant) continue;
-    const layerCapacity = getLayerRoom(memoryMb, options.profile, { tokens });
+    const layerCapacity = getLayerCapacity(memoryMb, options.profile, {
+      tokens,
+    });
     const coverWithout = removeHolder(cover, engine);
     const window = createWindowChooser(coverWithout, coverParameters)
       .choose({ stepFactor, layerCapacity });
--- a/src/layers/plan_layer_orders.ts
+++ b/src/layers/plan_layer_orders.ts
@@ -21,13 +21,13 @@
 import { moveRedundantEngines } from "./move_redundant_engines.ts";
 import { redistributeGroup } from "./redistribute_group.ts";
 import { findTokensInFlight } from "./token_capacity.ts";
-import type { LayerEngine, LayerFigures, LayerOrder } from "./types.ts";
+import type { LayerEngine, LayerOrder, ModelProfile } from "./types.ts";
 
 /** Options of {@link planLayerOrders}. */
 export interface PlanLayerOrdersOptions {
-  readonly figures: LayerFigures;
+  readonly profile: ModelProfile;
   /** Decides whether to redistribute a group with a gap that no move of an engine can fill. */
-  readonly mayRespread: MayRedistribute;
+  readonly mayRedistribute: MayRedistribute;
 }
 
 /**
@@ -54,7 +54,7 @@
   engines: readonly LayerEngine[],
   options: PlanLayerOrdersOptions,
 ): LayerOrder[] {
-  const { figures: profile } = options;
+  const { profile: profile } = options;
   const plans = groupEngines(engines, profile)
     .map((group) => planGroup(group, profile));
   const chosen = chooseRedistribution(plans, options);
@@ -67,7 +67,7 @@
 
 function groupEngines(
   engines: readonly LayerEngine[],
-  profile: LayerFigures,
+  profile: ModelProfile,
 ): EngineGroup[] {
   const byPlace = new Map<string, LayerEngine[]>();
   for (const engine of engines) {
@@ -96,7 +96,7 @@
   return a < b ? -1 : 1;
 }
 
-function planGroup(group: EngineGroup, profile: LayerFigures): GroupPlan {
+function planGroup(group: EngineGroup, profile: ModelProfile): GroupPlan {
   const { engines } = group;
   if (engines.every((engine) => engine.range === undefined)) {
     const orders = designCopies(sortById(engines), profile)
@@ -116,7 +116,7 @@
 
 function repairGroup(
   group: EngineGroup,
-  context: { cover: LayerCover; profile: LayerFigures },
+  context: { cover: LayerCover; profile: ModelProfile },
 ): GroupPlan {
   const { engines } = group;
   const { profile } = context;
--- a/src/layers/redistribute_group.ts
+++ b/src/layers/redistribute_group.ts
@@ -6,7 +6,7 @@
 
 import { sortById } from "./_lib/sort_by_id.ts";
 import { designCopies } from "./design_copies.ts";
-import type { LayerEngine, LayerFigures, LayerOrder } from "./types.ts";
+import type { LayerEngine, LayerOrder, ModelProfile } from "./types.ts";
 
 /**
  * Redistributes the layers of a model. Engines with equal cards keep the order of the
@@ -21,7 +21,7 @@
  */
 export function redistributeGroup(
   engines: readonly LayerEngine[],
-  profile: LayerFigures,
+  profile: ModelProfile,
 ): LayerOrder[] {
   const sorted = sortById(engines).sort((a, b) =>
     getRangeMiddle(a, profile) - getRangeMiddle(b, profile)
@@ -35,7 +35,7 @@
     });
 }
 
-function getRangeMiddle(engine: LayerEngine, profile: LayerFigures): number {
+function getRangeMiddle(engine: LayerEngine, profile: ModelProfile): number {
   const { range } = engine;
   return range ? (range.fromLayer + range.toLayer) / 2 : profile.layers;
 }
--- a/src/layers/token_capacity.ts
+++ b/src/layers/token_capacity.ts
@@ -4,7 +4,7 @@
  * @module
  */
 
-import type { LayerEngine, LayerFigures } from "./types.ts";
+import type { LayerEngine, ModelProfile } from "./types.ts";
 
 const BYTES_PER_MB = 1e6;
 
@@ -20,11 +20,11 @@
  * @returns The number of layers, rounded down.
  * @throws Nothing.
  * @example
- * getLayerRoom(21_600, profile, { tokens: 50_000 });
+ * getLayerCapacity(21_600, profile, { tokens: 50_000 });
  */
-export function getLayerRoom(
+export function getLayerCapacity(
   memoryMb: number,
-  profile: LayerFigures,
+  profile: ModelProfile,
   options: { tokens: number },
 ): number {
   const { layers, layerMb } = profile;
@@ -43,9 +43,9 @@
  * @example
  * getTokenCapacity(21_600, profile, { layerCount: 8 });
  */
-export function getTokenRoom(
+export function getTokenCapacity(
   memoryMb: number,
-  profile: LayerFigures,
+  profile: ModelProfile,
   options: { layerCount: number },
 ): number {
   const { layerCount } = options;
@@ -54,7 +54,7 @@
 }
 
 // Memory that a token takes for each layer that an engine holds, in MB.
-function getLayerTokenMb({ layers, kvTokenBytes }: LayerFigures): number {
+function getLayerTokenMb({ layers, kvTokenBytes }: ModelProfile): number {
   return kvTokenBytes / layers / BYTES_PER_MB;
 }
 
@@ -73,11 +73,11 @@
  */
 export function findTokensInFlight(
   engines: readonly Pick<LayerEngine, "memoryMb">[],
-  profile: LayerFigures,
+  profile: ModelProfile,
 ): number | undefined {
   const fitsWith = (tokens: number) => {
     const capacities = engines.map(({ memoryMb }) =>
-      getLayerRoom(memoryMb, profile, { tokens })
+      getLayerCapacity(memoryMb, profile, { tokens })
     );
     return capacities.reduce((sum, capacity) => sum + capacity, 0) >=
       profile.layers;
--- a/src/layers/types.ts
+++ b/src/layers/types.ts
@@ -25,7 +25,7 @@
 }
 
 /** Size, expected load and step times of a model, used to place its layers. */
-export interface LayerFigures {
+export interface ModelProfile {
   readonly layers: number;
   readonly layerMb: number;
   /** Bytes of KV cache per token, summed over all layers. */
--- a/src/limits/decide_admission.ts
+++ b/src/limits/decide_admission.ts
@@ -18,7 +18,7 @@
   /** Queued requests that would be served before this one. */
   readonly queuedAhead: number;
   /** Whether a queued request would be served after this one. */
-  readonly hasLater: boolean;
+  readonly canDisplace: boolean;
   /** The client account's requests that are in flight or queued here. */
   readonly accountInFlight: number;
   readonly accountMaxInFlight: number;
@@ -55,7 +55,7 @@
  * request leaves the queue. With a margin of 1, a seventh of all runs missed
  * their deadline at a load of twice the capacity; see docs/design/limits.md.
  */
-export const RUN_MARGIN = 3;
+export const RUN_TIME_MARGIN = 3;
 
 /**
  * Decides whether a request runs, is queued or is rejected.
@@ -78,9 +78,9 @@
   if (inFlight < maxInFlight && queued === 0) return { decision: "run" };
   const expectedWaitMs = estimateWaitMs(input, input.queuedAhead + 1);
   const isFull = queued >= maxQueued;
-  if (isFull && !input.hasLater) return refuse("queue_full", expectedWaitMs);
+  if (isFull && !input.canDisplace) return refuse("queue_full", expectedWaitMs);
   const hasThroughput = input.endedPerS > 0;
-  const neededMs = expectedWaitMs + RUN_MARGIN * input.typicalRunMs;
+  const neededMs = expectedWaitMs + RUN_TIME_MARGIN * input.typicalRunMs;
   if (hasThroughput && neededMs > input.timeLeftMs) {
     return refuse("deadline_too_near", expectedWaitMs);
   }
--- a/src/limits/fair_queue.ts
+++ b/src/limits/fair_queue.ts
@@ -87,7 +87,7 @@
  * @example
  * const { ahead } = findFairQueuePosition(queue, request);
  */
-export function findFairQueuePlace(
+export function findFairQueuePosition(
   queue: FairQueue,
   request: Omit<QueuedRequest, "finish">,
 ): FairQueuePosition {
--- a/src/limits/limits_test.ts
+++ b/src/limits/limits_test.ts
@@ -8,7 +8,7 @@
   createFairQueue,
   createTokenBucket,
   decideAdmission,
-  findFairQueuePlace,
+  findFairQueuePosition,
   takeFromFairQueue,
   takeToken,
 } from "./index.ts";
@@ -20,7 +20,7 @@
     queued: 0,
     maxQueued: 5,
     queuedAhead: 0,
-    hasLater: false,
+    canDisplace: false,
     accountInFlight: 0,
     accountMaxInFlight: 100,
     endedPerS: 10,
@@ -85,7 +85,7 @@
   const full = makeInput({ inFlight: 10, queued: 5, queuedAhead: 5 });
   const refused = decideAdmission(full);
   assert.is(refused.decision === "refuse" && refused.reason, "queue_full");
-  const taken = decideAdmission({ ...full, queuedAhead: 1, hasLater: true });
+  const taken = decideAdmission({ ...full, queuedAhead: 1, canDisplace: true });
   assert.ok(taken.decision === "queue" && taken.displace);
 });
 
@@ -109,7 +109,7 @@
   for (let id = 1; id <= 10; id++) {
     queue = addToFairQueue(queue, makeItem(id, "large"));
   }
-  const position = findFairQueuePlace(queue, makeItem(11, "small"));
+  const position = findFairQueuePosition(queue, makeItem(11, "small"));
   assert.ok(position.ahead <= 1);
   assert.is(position.last?.id, 10);
   queue = addToFairQueue(queue, makeItem(11, "small"));
--- a/src/membership/live_change.ts
+++ b/src/membership/live_change.ts
@@ -49,7 +49,7 @@
  * @example
  * const next = applyLiveChange(state, change);
  */
-export function takeLiveChange(
+export function applyLiveChange(
   state: LiveState,
   change: LiveChange,
 ): LiveState {
--- a/src/membership/live_change_test.ts
+++ b/src/membership/live_change_test.ts
@@ -2,7 +2,7 @@
 import * as assert from "uvu/assert";
 import fc from "fast-check";
 import type { LiveState } from "../model/index.ts";
-import { EMPTY_LIVE_STATE, getLiveChange, takeLiveChange } from "./index.ts";
+import { applyLiveChange, EMPTY_LIVE_STATE, getLiveChange } from "./index.ts";
 
 const vm = fc.constantFrom("a", "b", "c", "d", "e");
 
@@ -42,7 +42,7 @@
       let published: LiveState | undefined;
       let received = EMPTY_LIVE_STATE;
       for (const state of states) {
-        received = takeLiveChange(received, getLiveChange(published, state));
+        received = applyLiveChange(received, getLiveChange(published, state));
         published = state;
         assert.equal(sort(received), sort(state));
       }
--- a/src/quarantine/constants.ts
+++ b/src/quarantine/constants.ts
@@ -29,13 +29,13 @@
 export const MAX_HOLD_MS = 3_600_000;
 
 /** Retention of a suspicion that has not been confirmed. */
-export const SUSPICION_AGE_MS = 600_000;
+export const SUSPICION_RETENTION_MS = 600_000;
 
 /** Retention of a conviction after the end of its hold. */
-export const CONVICTION_AGE_MS = 3_600_000;
+export const CONVICTION_RETENTION_MS = 3_600_000;
 
 /** Time, from the gateway's request, within which a trial must start. */
-export const TRIAL_MS = 5_000;
+export const TRIAL_START_MS = 5_000;
 
 /**
  * Maximum time for which a trial keeps other suspects off its upstream, unless its
--- a/src/quarantine/index.ts
+++ b/src/quarantine/index.ts
@@ -6,5 +6,5 @@
 
 export * from "./constants.ts";
 export * from "./get_hold_ms.ts";
-export * from "./take_crashes.ts";
+export * from "./record_crashes.ts";
 export * from "./types.ts";
--- a/src/quarantine/quarantine_test.ts
+++ b/src/quarantine/quarantine_test.ts
@@ -2,7 +2,11 @@
 import * as assert from "uvu/assert";
 import { MAX_HOLD_MS } from "./constants.ts";
 import { getHoldMs } from "./get_hold_ms.ts";
-import { isExplained, needsTrial, takeCrashes } from "./take_crashes.ts";
+import {
+  isCrashAttributed,
+  needsTrial,
+  recordCrashes,
+} from "./record_crashes.ts";
 import type { CrashCases, JudgedReport } from "./types.ts";
 
 const NONE: CrashCases = new Map();
@@ -16,15 +20,15 @@
 }
 
 test("a crash counts once, however many reports there are", () => {
-  const cases = takeCrashes(NONE, [crash("r", "e1"), crash("r", "e1")]);
+  const cases = recordCrashes(NONE, [crash("r", "e1"), crash("r", "e1")]);
   assert.equal(cases.get("r")?.engineIds, ["e1"]);
   assert.not.ok(needsTrial({ engineIds: ["e1"] }));
-  assert.is(takeCrashes(cases, [crash("r", "e1")]), cases);
+  assert.is(recordCrashes(cases, [crash("r", "e1")]), cases);
 });
 
 test("nine upstreams that fail at once lead to no conviction", () => {
   const reports = Array.from({ length: 9 }, (_, at) => crash("r", `e${at}`));
-  const one = takeCrashes(NONE, reports).get("r");
+  const one = recordCrashes(NONE, reports).get("r");
   assert.is(one?.convictions, 0);
   assert.ok(one && needsTrial(one));
 });
@@ -34,7 +38,7 @@
     crash("guilty", engineId),
     crash("beside", engineId),
   ]);
-  const cases = takeCrashes(NONE, [
+  const cases = recordCrashes(NONE, [
     ...beside.slice(0, 4),
     crash("beside", "e9"),
     crash("other", "e8"),
@@ -43,7 +47,7 @@
     crash("late", "e2"),
   ]);
   assert.is(cases.get("guilty")?.convictions, 1);
-  assert.ok(isExplained(cases, "e1"));
+  assert.ok(isCrashAttributed(cases, "e1"));
   assert.equal(cases.get("beside")?.engineIds, ["e9"]);
   assert.equal(cases.get("other")?.engineIds, ["e8"]);
   assert.not.ok(cases.has("late"));
@@ -52,7 +56,7 @@
 test("the number of cases is bounded, and convictions are evicted last", () => {
   const convicted = [crash("g", "a"), crash("g", "b"), crash("g", "c", true)];
   const many = Array.from({ length: 20 }, (_, at) => crash(`r${at}`, `e${at}`));
-  const cases = takeCrashes(NONE, [...convicted, ...many], { maxCases: 5 });
+  const cases = recordCrashes(NONE, [...convicted, ...many], { maxCases: 5 });
   assert.equal([...cases.keys()], ["g", "r16", "r17", "r18", "r19"]);
 });
 
--- a/src/quarantine/take_crashes.ts
+++ b/src/quarantine/record_crashes.ts
@@ -24,7 +24,7 @@
  * @example
  * const next = recordCrashes(cases, [{ requestKey, engineId, isTrial: false }]);
  */
-export function takeCrashes(
+export function recordCrashes(
   cases: CrashCases,
   reports: readonly JudgedReport[],
   options: { readonly maxCases?: number } = {},
@@ -44,7 +44,10 @@
  * @example
  * if (isCrashAttributed(cases, engineId)) return;
  */
-export function isExplained(cases: CrashCases, engineId: string): boolean {
+export function isCrashAttributed(
+  cases: CrashCases,
+  engineId: string,
+): boolean {
   return [...cases.values()].some((one) =>
     one.convictions > 0 && one.engineIds.includes(engineId)
   );
@@ -68,7 +71,7 @@
   const known = cases.get(requestKey) ??
     { requestKey, engineIds: [], convictions: 0 };
   if (known.engineIds.includes(engineId)) return cases;
-  if (isExplained(cases, engineId)) return cases;
+  if (isCrashAttributed(cases, engineId)) return cases;
   const convictions = known.convictions + (isTrial ? 1 : 0);
   const engineIds = [...known.engineIds, engineId].slice(-MAX_CASE_ENGINES);
   const next = new Map(cases).set(requestKey, {
--- a/src/quorum/create_quorum_state.ts
+++ b/src/quorum/create_quorum_state.ts
@@ -27,7 +27,7 @@
    * Monotonic time, in ms, when the process started: no leader has contacted
    * the replica since. Defaults to `nowMs`.
    */
-  readonly quietSinceMs?: number;
+  readonly processStartedMs?: number;
   /** A number in [0, 1). */
   readonly random?: number;
 }
@@ -57,7 +57,7 @@
     log = [],
     timing = DEFAULT_QUORUM_TIMING,
     nowMs = 0,
-    quietSinceMs: startedMs = nowMs,
+    processStartedMs: startedMs = nowMs,
     random = 0.5,
   } = options;
   const voteAllowedMs = startedMs + timing.electionTimeoutMs;
--- a/src/quorum/create_quorum_state_test.ts
+++ b/src/quorum/create_quorum_state_test.ts
@@ -27,7 +27,7 @@
     snapshot: { index: 0, term: 0, members: MEMBERS },
     timing: TIMING,
     nowMs: READY_MS,
-    quietSinceMs: startedMs,
+    processStartedMs: startedMs,
     random: 0.5,
   });
 }
--- a/src/quorum/plan_voter_change.ts
+++ b/src/quorum/plan_voter_change.ts
@@ -12,7 +12,7 @@
   /** Target number of voters. */
   readonly voters: number;
   /** Whether a member has not answered within its timeout. */
-  readonly isSilent: (id: string) => boolean;
+  readonly isUnresponsive: (id: string) => boolean;
   /** Maximum number of committed entries that a promoted learner may lack. */
   readonly maxLagEntries?: number;
 }
@@ -33,16 +33,16 @@
   state: QuorumState,
   options: PlanVoterChangeOptions,
 ): readonly Member[] | undefined {
-  const { voters, isSilent, maxLagEntries = 64 } = options;
+  const { voters, isUnresponsive, maxLagEntries = 64 } = options;
   if (state.role !== "leader") return undefined;
   if (state.membersIndex > state.commitIndex) return undefined;
   const { members, selfId } = state;
   const currentVoters = members.filter((member) => member.role === "voter");
   const unresponsive = currentVoters.filter(({ id }) =>
-    id !== selfId && isSilent(id)
+    id !== selfId && isUnresponsive(id)
   );
   const promotable = members.find(({ id, role }) =>
-    role === "learner" && !isSilent(id) &&
+    role === "learner" && !isUnresponsive(id) &&
     isCaughtUp(state, { id, maxLagEntries })
   );
   const isVoterNeeded = currentVoters.length < voters ||
--- a/src/quorum/plan_voter_change_test.ts
+++ b/src/quorum/plan_voter_change_test.ts
@@ -28,7 +28,7 @@
 function plan(members: readonly Member[], unresponsive: readonly string[]) {
   return planVoterChange(makeLeader(members), {
     voters: 3,
-    isSilent: (id) => unresponsive.includes(id),
+    isUnresponsive: (id) => unresponsive.includes(id),
   })?.map(({ id, role }) => `${id}:${role}`);
 }
 
@@ -71,7 +71,7 @@
     ...leader,
     commitIndex: 500,
   };
-  const options = { voters: 3, isSilent: (id: string) => id === "c" };
+  const options = { voters: 3, isUnresponsive: (id: string) => id === "c" };
   assert.is(planVoterChange(lagging, options), undefined);
 });
 
--- a/src/resources/apply_change.ts
+++ b/src/resources/apply_change.ts
@@ -54,7 +54,7 @@
   });
   if (!result.accepted) return { state: { ...state, answered }, result };
   const change = makeChange(state, command);
-  const next = takeChanges({ ...state, answered }, [change]);
+  const next = applyAcceptedChanges({ ...state, answered }, [change]);
   return { state: next, result, change };
 }
 
@@ -68,7 +68,7 @@
  * @example
  * const next = applyAcceptedChanges(state, [change]);
  */
-export function takeChanges(
+export function applyAcceptedChanges(
   state: ResourceState,
   changes: readonly ResourceChange[],
 ): ResourceState {
--- a/src/retry/classify_failure.ts
+++ b/src/retry/classify_failure.ts
@@ -20,7 +20,7 @@
  * classifyFailure({ phase: "connecting", fault: "refused" }).outcome; // "not_run"
  */
 export function classifyFailure(failure: DispatchFailure): FailureVerdict {
-  const { phase, fault, saidNotRun: isNotRun = false } = failure;
+  const { phase, fault, reportedNotRun: isNotRun = false } = failure;
   if (phase === "connecting") {
     return { outcome: "not_run", reason: "connect_failed", safeToRetry: true };
   }
--- a/src/retry/classify_failure_test.ts
+++ b/src/retry/classify_failure_test.ts
@@ -55,7 +55,7 @@
       phase: "answering",
       fault: "upstream_said",
       status: 503,
-      saidNotRun: true,
+      reportedNotRun: true,
     },
     "not_run",
     true,
--- a/src/retry/decide_retry.ts
+++ b/src/retry/decide_retry.ts
@@ -79,7 +79,7 @@
   }
   if (context.tries >= attemptLimit) return { retry: false, why: "tries_used" };
   const afterMs = getRetryWaitMs(context.tries, {
-    firstMs: baseBackoffMs,
+    baseMs: baseBackoffMs,
     maxMs: maxBackoffMs,
     random: () => random,
   });
--- a/src/retry/get_retry_wait_ms.ts
+++ b/src/retry/get_retry_wait_ms.ts
@@ -7,7 +7,7 @@
 /** Options of {@link getRetryWaitMs}. */
 export interface GetRetryWaitOptions {
   /** Maximum delay, in ms, after the first failure. */
-  readonly firstMs: number;
+  readonly baseMs: number;
   /** Maximum delay, in ms, after any number of failures. */
   readonly maxMs: number;
   /** Returns a random number in [0, 1). */
@@ -30,6 +30,6 @@
   failures: number,
   options: GetRetryWaitOptions,
 ): number {
-  const boundMs = options.firstMs * 2 ** (failures - 1);
+  const boundMs = options.baseMs * 2 ** (failures - 1);
   return Math.min(options.maxMs, boundMs) * options.random();
 }
--- a/src/retry/get_retry_wait_ms_test.ts
+++ b/src/retry/get_retry_wait_ms_test.ts
@@ -2,7 +2,7 @@
 import * as assert from "uvu/assert";
 import { getRetryWaitMs } from "./get_retry_wait_ms.ts";
 
-const BOUNDS = { firstMs: 100, maxMs: 1_000 };
+const BOUNDS = { baseMs: 100, maxMs: 1_000 };
 
 test("the bound doubles with each failure, up to the maximum delay", () => {
   const waits = [1, 2, 3, 4, 5, 2_000].map((failures) =>
--- a/src/retry/types.ts
+++ b/src/retry/types.ts
@@ -24,7 +24,7 @@
   readonly phase: DispatchPhase;
   readonly fault: DispatchFault;
   /** Whether the upstream reported in its response that it did not run the request. */
-  readonly saidNotRun?: boolean;
+  readonly reportedNotRun?: boolean;
   /** HTTP status, if there was a response. */
   readonly status?: number;
   /** Back-off in ms that the upstream asked for, if any: no new work for this long. */
--- a/src/routing/find_back_off_left_ms.ts
+++ b/src/routing/find_remaining_back_off_ms.ts
@@ -6,8 +6,8 @@
 
 import type { UpstreamView } from "./types.ts";
 
-/** Options of {@link findBackOffLeftMs}. */
-export interface FindBackOffLeftOptions {
+/** Options of {@link findRemainingBackOffMs}. */
+export interface FindRemainingBackOffOptions {
   readonly nowMs: number;
   /** Whether a request could be sent at the given time, in ms. */
   readonly canSend: (atMs: number) => boolean;
@@ -25,9 +25,9 @@
  * const canSend = (nowMs) => chooseUpstream(views, { nowMs, random }) !== undefined;
  * const leftMs = findRemainingBackOffMs(views, { nowMs, canSend });
  */
-export function findBackOffLeftMs(
+export function findRemainingBackOffMs(
   views: readonly Pick<UpstreamView, "backOffUntilMs">[],
-  { nowMs, canSend }: FindBackOffLeftOptions,
+  { nowMs, canSend }: FindRemainingBackOffOptions,
 ): number | undefined {
   const endsMs = views.flatMap(({ backOffUntilMs = 0 }) => backOffUntilMs)
     .filter((atMs) => atMs > nowMs)
--- a/src/routing/index.ts
+++ b/src/routing/index.ts
@@ -9,7 +9,7 @@
 export * from "./compute_entry_intervals.ts";
 export * from "./compute_interval_shares.ts";
 export * from "./constants.ts";
-export * from "./find_back_off_left_ms.ts";
+export * from "./find_remaining_back_off_ms.ts";
 export * from "./list_usable_upstreams.ts";
 export * from "./rank_by_rendezvous.ts";
 export * from "./rank_entries.ts";
--- a/src/routing/routing_test.ts
+++ b/src/routing/routing_test.ts
@@ -6,9 +6,9 @@
   chooseUpstream,
   computeEntryIntervals,
   computeIntervalShares,
-  findBackOffLeftMs,
+  findRemainingBackOffMs,
+  HEALTHY,
   rankEntries,
-  SOUND,
   updateHealth,
   type UpstreamView,
 } from "./index.ts";
@@ -113,9 +113,9 @@
   ];
   const canSend = (nowMs: number) =>
     chooseChain(views, 8, { nowMs, random: 0 }) !== undefined;
-  assert.is(findBackOffLeftMs(views, { nowMs: 0, canSend }), 700);
+  assert.is(findRemainingBackOffMs(views, { nowMs: 0, canSend }), 700);
   const never = { nowMs: 0, canSend: () => false };
-  assert.is(findBackOffLeftMs(views, never), undefined);
+  assert.is(findRemainingBackOffMs(views, never), undefined);
 });
 
 // Guards against ejecting all replicas of one stage because enough upstreams of
@@ -181,14 +181,14 @@
 });
 
 test("consecutive failures eject an upstream, for longer each time", () => {
-  let health = SOUND;
+  let health = HEALTHY;
   for (let count = 0; count < 3; count++) {
     health = updateHealth(health, false, { nowMs: 0 });
   }
   assert.is(health.ejectedUntilMs, 2_000);
   health = updateHealth(health, false, { nowMs: 2_000 });
   assert.is(health.ejectedUntilMs, 6_000);
-  assert.equal(updateHealth(health, true, { nowMs: 9_000 }), SOUND);
+  assert.equal(updateHealth(health, true, { nowMs: 9_000 }), HEALTHY);
 });
 
 test("each client account gets its own stable order of entries, without leaving ones", () => {
--- a/src/routing/update_health.ts
+++ b/src/routing/update_health.ts
@@ -5,7 +5,7 @@
  */
 
 /** Failure record of an upstream. */
-export interface Health {
+export interface UpstreamHealth {
   readonly failuresInRow: number;
   /** Ejections since the last success. */
   readonly ejections: number;
@@ -31,7 +31,7 @@
 export const MAX_EJECTION_MS = 60_000;
 
 /** Health of an upstream without failures since its last success. */
-export const SOUND: Health = {
+export const HEALTHY: UpstreamHealth = {
   failuresInRow: 0,
   ejections: 0,
   ejectedUntilMs: 0,
@@ -49,11 +49,11 @@
  * const health = updateHealth(HEALTHY, false, { nowMs: 0 });
  */
 export function updateHealth(
-  health: Health,
+  health: UpstreamHealth,
   succeeded: boolean,
   options: UpdateHealthOptions,
-): Health {
-  if (succeeded) return SOUND;
+): UpstreamHealth {
+  if (succeeded) return HEALTHY;
   const {
     nowMs,
     failuresToEject = FAILURES_TO_EJECT,
--- a/src/storage/create_memory_storage.ts
+++ b/src/storage/create_memory_storage.ts
@@ -8,7 +8,7 @@
 import { FORMAT_VERSION } from "./constants.ts";
 import { makeReplicaId, type StorageIdentity } from "./identity.ts";
 import type { QuorumStorage } from "./open_quorum_storage.ts";
-import type { StoredSnapshot } from "./read_stored.ts";
+import type { StoredSnapshot } from "./read_stored_state.ts";
 
 /** The fleet and the VM that the storage belongs to. */
 export interface CreateMemoryStorageOptions {
--- a/src/storage/index.ts
+++ b/src/storage/index.ts
@@ -10,5 +10,5 @@
 export * from "./identity.ts";
 export * from "./lock_data_folder.ts";
 export * from "./open_quorum_storage.ts";
-export * from "./read_stored.ts";
+export * from "./read_stored_state.ts";
 export * from "./storage_error.ts";
--- a/src/storage/open_quorum_storage.ts
+++ b/src/storage/open_quorum_storage.ts
@@ -22,10 +22,10 @@
 import {
   type LogRecord,
   readSnapshotFile,
-  readStored,
+  readStoredState,
   type StoredSnapshot,
   type StoredState,
-} from "./read_stored.ts";
+} from "./read_stored_state.ts";
 
 /** The open storage of a replica. */
 export interface QuorumStorage extends AsyncDisposable {
@@ -96,7 +96,7 @@
   if (options.form && identity.clusterId === "") {
     identity = await formCluster(identity, { folder, form: options.form });
   }
-  const stored = await readStored(folder);
+  const stored = await readStoredState(folder);
   let sequence = stored.sequence;
   let log = await openLog(folder, sequence, stored.validBytes);
 
--- a/src/storage/read_stored.ts
+++ b/src/storage/read_stored_state.ts
@@ -47,7 +47,7 @@
  * @example
  * const { state } = await readStoredState(folder);
  */
-export async function readStored(folder: string): Promise<{
+export async function readStoredState(folder: string): Promise<{
   state: StoredState;
   sequence: number;
   validBytes: number;
--- a/src/upstreams/call_stage.ts
+++ b/src/upstreams/call_stage.ts
@@ -10,7 +10,10 @@
 import { readBackOffMs } from "../http/index.ts";
 import type { StepOrder, StepOutput } from "../pipeline/index.ts";
 import type { DispatchFailure } from "../retry/index.ts";
-import { saidNotRun, type UpstreamClient } from "./create_upstream_client.ts";
+import {
+  reportsNotRun,
+  type UpstreamClient,
+} from "./create_upstream_client.ts";
 import { DispatchError } from "./upstream_error.ts";
 
 const StepAnswerSchema = Type.Object({
@@ -80,7 +83,7 @@
       phase: "answering",
       fault: "upstream_said",
       status: answer.status,
-      saidNotRun: saidNotRun(answer),
+      reportedNotRun: reportsNotRun(answer),
       backOffMs: readBackOffMs(answer),
     });
   }
--- a/src/upstreams/create_upstream_client.ts
+++ b/src/upstreams/create_upstream_client.ts
@@ -167,7 +167,7 @@
  * @example
  * if (reportsNotRun(answer)) retry();
  */
-export function saidNotRun(
+export function reportsNotRun(
   answer: Pick<UpstreamAnswer, "status" | "headers">,
 ): boolean {
   return answer.status >= 400 && answer.headers[HEADERS.outcome] === "not_run";
--- a/src/upstreams/upstream_error.ts
+++ b/src/upstreams/upstream_error.ts
@@ -24,7 +24,9 @@
  * @example
  * const failure = getDispatchFailure(error);
  */
-export function getFailure(error: unknown): DispatchFailure | undefined {
+export function getDispatchFailure(
+  error: unknown,
+): DispatchFailure | undefined {
   if (!(error instanceof DispatchError)) return undefined;
   return (error as { failure?: DispatchFailure }).failure;
 }
--- a/standins/start_layer_engine.ts
+++ b/standins/start_layer_engine.ts
@@ -22,21 +22,21 @@
   /** Writes part of the next event before it resets the stream. */
   cutsEvent?: boolean;
   /** Runs plain requests, then closes their connections without an answer. */
-  losesAnswers?: boolean;
+  dropsAnswers?: boolean;
   /** Answers plain requests with the id of another one. */
-  mixesIds?: boolean;
+  swapsIds?: boolean;
   /** Accepts requests and never answers. */
   hangs?: boolean;
   /** Rejects all requests as full. */
   isFull?: boolean;
   /** Rejects all requests with these lines of `Retry-After`. */
-  asksForRest?: readonly string[];
+  rejectsWithRetryAfter?: readonly string[];
   /** Delay of such a rejection, in ms. */
   refusalDelayMs?: number;
   /** Announces in all its answers that it leaves. */
-  saysLeaving?: boolean;
+  announcesLeaving?: boolean;
   /** Announces a rate limit in answers to requests: the lines of the header field. */
-  namesLimit?: readonly string[];
+  announcesLimit?: readonly string[];
   /** Omits the limit from answers that reject as full. */
   hidesLimitWhenFull?: boolean;
   /** Announces the limit in answers to status queries and orders too. */
@@ -59,7 +59,7 @@
   readonly controlAddresses: readonly string[];
   /** Kind of card; absent for a plain service. */
   readonly card?: string;
-  readonly beatIntervalMs?: number;
+  readonly heartbeatPeriodMs?: number;
   /** Ms between two events. */
   readonly eventIntervalMs?: number;
   /** Events of an answer. */
@@ -85,7 +85,7 @@
   /** Crashes caused by requests, in order. */
   readonly crashes: readonly EngineCrash[];
   /** Stops abruptly, and restarts if `restartsAfterMs` is set. */
-  fail(): Promise<void>;
+  failAndRestart(): Promise<void>;
 }
 
 /** A call that reached the engine. */
@@ -143,7 +143,7 @@
     service,
     place,
     card,
-    beatIntervalMs = 200,
+    heartbeatPeriodMs: beatIntervalMs = 200,
     eventIntervalMs = 5,
     events = 20,
   } = options;
@@ -198,9 +198,9 @@
       atMs: performance.now(),
       requestId: String(requestId),
       incarnationStartMs,
-      announcedLeaving: fault.saysLeaving === true,
+      announcedLeaving: fault.announcesLeaving === true,
       announcedLimit: type === "request" || fault.announcesLimitToAll
-        ? fault.namesLimit
+        ? fault.announcesLimit
         : undefined,
     };
     arrivals.push(arrival);
@@ -245,10 +245,10 @@
       response.writeHead(421, { ...own, [HEADER.notRun]: "1" }).end();
       return;
     }
-    if (fault.asksForRest) {
+    if (fault.rejectsWithRetryAfter) {
       if (fault.refusalDelayMs) await sleep(fault.refusalDelayMs);
-      arrival.sentRetryAfter = fault.asksForRest;
-      response.setHeader(HEADER.retryAfter, fault.asksForRest);
+      arrival.sentRetryAfter = fault.rejectsWithRetryAfter;
+      response.setHeader(HEADER.retryAfter, fault.rejectsWithRetryAfter);
       response.writeHead(503, { ...own, [HEADER.notRun]: "1" }).end();
       return;
     }
@@ -277,11 +277,11 @@
     }
     if (fault.hangs) return;
     if (card !== undefined) return await stream(response, { run, get });
-    if (fault.losesAnswers) {
+    if (fault.dropsAnswers) {
       response.destroy();
       return;
     }
-    const id = fault.mixesIds ? "another" : requestId;
+    const id = fault.swapsIds ? "another" : requestId;
     const text = `answer to ${requestId}`;
     response.writeHead(200, {
       [HEADER.requestId]: id,
@@ -420,7 +420,7 @@
     },
     crash,
     crashes,
-    async fail() {
+    async failAndRestart() {
       if (!isDown) await restart();
     },
     async [Symbol.asyncDispose]() {
--- a/test/resting_engine_test.ts
+++ b/test/backed_off_engine_test.ts
@@ -14,7 +14,7 @@
 import * as assert from "uvu/assert";
 import { until } from "../demo/until.ts";
 import type { LayerEngine } from "../standins/index.ts";
-import { call, type CallAnswer, startServing } from "./support/fleet.ts";
+import { call, type CallAnswer, startServingFleet } from "./support/fleet.ts";
 import { listRequests } from "./support/soak_callers.ts";
 
 const MS_PER_S = 1_000;
@@ -50,14 +50,14 @@
 
 for (const path of ["/stream/1", "/safe/1", "/once/1"]) {
   test(`an engine that requests a back-off gets no more requests at ${path}`, async () => {
-    await using fleet = await startServing({ controls: 1, gateways: 1 });
+    await using fleet = await startServingFleet({ controls: 1, gateways: 1 });
     const [{ address }] = fleet.gateways;
     const all = path === "/stream/1" ? fleet.engines : fleet.plain;
     // The engine that is chosen first becomes the overloaded one.
     await call(address, { path });
     const engine = all.find((one) => countRequests(one) > 0);
     if (!engine) throw new Error("No engine received the request");
-    engine.fault.asksForRest = [String(BACK_OFF_S)];
+    engine.fault.rejectsWithRetryAfter = [String(BACK_OFF_S)];
     const before = countRequests(engine);
     await until("the engine has rejected a request", async () => {
       await call(address, { path });
@@ -71,7 +71,7 @@
     assert.ok(answers.length > 3);
     assert.ok(answers.every(({ status }) => status === 200));
     // After the back-off the engine is used again.
-    engine.fault.asksForRest = undefined;
+    engine.fault.rejectsWithRetryAfter = undefined;
     await until("the engine serves again", async () => {
       await call(address, { path });
       return countRequests(engine) > before + 1;
@@ -80,7 +80,7 @@
 }
 
 test("requests are rejected without delay, with the end of the first back-off, if all engines are backed off", async () => {
-  await using fleet = await startServing({ controls: 1, gateways: 1 });
+  await using fleet = await startServingFleet({ controls: 1, gateways: 1 });
   const [{ address }] = fleet.gateways;
   for (
     const [path, engines] of [
@@ -88,7 +88,9 @@
       ["/stream/1", fleet.engines.filter(holdsFirstLayers)],
     ] as const
   ) {
-    engines.forEach(({ fault }) => fault.asksForRest = [String(BACK_OFF_S)]);
+    engines.forEach(({ fault }) =>
+      fault.rejectsWithRetryAfter = [String(BACK_OFF_S)]
+    );
     const startedMs = performance.now();
     await until("all engines have requested a back-off", async () => {
       await call(address, { path });
@@ -114,7 +116,7 @@
 
 test("a late request for a back-off doesn't make an engine suspected", async () => {
   const lines: string[] = [];
-  await using fleet = await startServing({
+  await using fleet = await startServingFleet({
     controls: 1,
     gateways: 1,
     log: (name) => void lines.push(name),
@@ -123,7 +125,7 @@
   const [engine] = fleet.plain;
   const model = fleet.engines.find(holdsFirstLayers);
   for (const { fault } of [engine, model as LayerEngine]) {
-    fault.asksForRest = [String(BACK_OFF_S)];
+    fault.rejectsWithRetryAfter = [String(BACK_OFF_S)];
     fault.refusalDelayMs = 1_100;
   }
   await until("both engines have requested a back-off", async () => {
@@ -137,10 +139,10 @@
 });
 
 test("a restarted engine is not backed off", async () => {
-  await using fleet = await startServing({ controls: 1, gateways: 1 });
+  await using fleet = await startServingFleet({ controls: 1, gateways: 1 });
   const [{ address }] = fleet.gateways;
   const [engine] = fleet.plain;
-  engine.fault.asksForRest = ["600"];
+  engine.fault.rejectsWithRetryAfter = ["600"];
   engine.fault.restartsAfterMs = 100;
   await until("the engine has rejected a request", async () => {
     await call(address, { path: "/safe/1" });
@@ -149,8 +151,8 @@
   const before = countRequests(engine);
   await callFor(600, { address, path: "/safe/1" });
   assert.is(countRequests(engine), before);
-  engine.fault.asksForRest = undefined;
-  await engine.fail();
+  engine.fault.rejectsWithRetryAfter = undefined;
+  await engine.failAndRestart();
   await until("the new incarnation serves", async () => {
     await call(address, { path: "/safe/1" });
     return countRequests(engine) > before;
--- a/test/control_members_test.ts
+++ b/test/control_members_test.ts
@@ -47,8 +47,8 @@
         : join(folder, options.folderName ?? String(folderCount)),
       isFirstStart,
       voters: options.voters,
-      beatIntervalMs: 200,
-      repeats: { extra: 100, windowMs: 10_000 },
+      upstreamHeartbeatIntervalMs: 200,
+      retryBudget: { extra: 100, windowMs: 10_000 },
     }, {
       getSeeds: () => options.seeds,
       decodeConfig,
--- a/test/crash_soak_test.ts
+++ b/test/crash_soak_test.ts
@@ -5,7 +5,7 @@
 
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { MOST_ENDS, MOST_LATE_ENDS } from "./support/crash_soak_limits.ts";
+import { MAX_CRASHES, MAX_LATE_CRASHES } from "./support/crash_soak_limits.ts";
 import { runCrashSoak } from "./support/run_crash_soak.ts";
 
 for (const seed of [29, 30]) {
@@ -13,9 +13,9 @@
     const report = await runCrashSoak({ seed, lengthMs: 6_000 });
     const details = JSON.stringify(report);
     for (const ends of Object.values(report.endsByBody)) {
-      assert.ok(ends <= MOST_ENDS, details);
+      assert.ok(ends <= MAX_CRASHES, details);
     }
-    assert.ok(report.lateEnds <= MOST_LATE_ENDS, details);
+    assert.ok(report.lateEnds <= MAX_LATE_CRASHES, details);
     assert.is(report.wronglyHeld, 0, details);
     assert.is(report.spoilt, 0, details);
     assert.is(report.ranTwice, 0, details);
--- a/test/ended_engine_runs_test.ts
+++ b/test/crashed_engine_runs_test.ts
@@ -7,10 +7,10 @@
 import { until } from "../demo/until.ts";
 import type { LayerEngine } from "../standins/index.ts";
 import {
-  addCopies,
+  addEnginesPerPlace,
   call,
   expectStream,
-  startServing,
+  startServingFleet,
 } from "./support/fleet.ts";
 
 /** Number of events of an answer. */
@@ -30,8 +30,8 @@
 
 test("a crashed engine doesn't count against the attempts of a stream, so a third one runs it", async () => {
   const size = { controls: 1, gateways: 1, events: EVENT_COUNT };
-  await using fleet = await startServing(size);
-  await addCopies(fleet);
+  await using fleet = await startServingFleet(size);
+  await addEnginesPerPlace(fleet);
   const { engines } = fleet;
   const [{ address }] = fleet.gateways;
   const earlier = Array.from(
--- a/test/crashing_request_test.ts
+++ b/test/crashing_request_test.ts
@@ -18,7 +18,7 @@
   call,
   type CallAnswer,
   expectStream,
-  startServing,
+  startServingFleet,
   stopLeader,
   type TestFleet,
 } from "./support/fleet.ts";
@@ -69,7 +69,7 @@
 
 for (const path of ["/stream/1", "/safe/1", "/once/1"]) {
   test(`a request at ${path} that crashes engines is quarantined on all gateways`, async () => {
-    await using fleet = await startServing();
+    await using fleet = await startServingFleet();
     injectCrashes([...fleet.engines, ...fleet.plain]);
     const last = await repeatCrashingCall(fleet, {
       path,
@@ -123,7 +123,7 @@
 }
 
 test("concurrent streams are not quarantined, nor is a body that many callers send", async () => {
-  await using fleet = await startServing();
+  await using fleet = await startServingFleet();
   injectCrashes(fleet.engines);
   const otherCalls = startOtherCalls(fleet, {
     path: "/stream/1",
@@ -144,7 +144,7 @@
 });
 
 test("operators list the quarantined requests and lift a quarantine", async () => {
-  await using fleet = await startServing({ controls: 1, gateways: 1 });
+  await using fleet = await startServingFleet({ controls: 1, gateways: 1 });
   injectCrashes(fleet.plain);
   await repeatCrashingCall(fleet, { path: "/safe/1", times: 5, gapMs: 300 });
   const control = ["--control", fleet.controls[0].callerAddress];
@@ -168,7 +168,7 @@
 });
 
 test("a new leader and a new gateway keep the quarantine", async () => {
-  await using fleet = await startServing();
+  await using fleet = await startServingFleet();
   injectCrashes(fleet.engines);
   await repeatCrashingCall(fleet, { path: "/stream/1", times: 6, gapMs: 300 });
   const before = countCrashes(fleet);
@@ -187,7 +187,7 @@
 });
 
 test("concurrent copies crash only the engines that run them before the first report", async () => {
-  await using fleet = await startServing();
+  await using fleet = await startServingFleet();
   injectCrashes(fleet.engines);
   await Promise.all(
     Array.from(
@@ -206,7 +206,7 @@
 });
 
 test("upstreams that crash for other reasons quarantine no request", async () => {
-  await using fleet = await startServing();
+  await using fleet = await startServingFleet();
   const otherCalls = startOtherCalls(fleet, {
     path: "/stream/1",
     getBody: () => "asked by a caller that repeats itself",
--- a/test/failover_test.ts
+++ b/test/failover_test.ts
@@ -5,8 +5,8 @@
   freezeLeader,
   killAll,
   killLeader,
-  loseDisksInTurn,
   stopLeader,
+  wipeDisksInTurn,
 } from "../measure/failover_scenarios.ts";
 
 // Kills two leaders: guards against a stream to a restarted replica that is still taken
@@ -34,7 +34,7 @@
 
 test("no accepted change is lost when a second disk fails right after the repair of the first", async () => {
   await using fleet = await launchFleet({ entries: 1 });
-  assert.ok((await loseDisksInTurn(fleet)).accepted >= 60);
+  assert.ok((await wipeDisksInTurn(fleet)).accepted >= 60);
 });
 
 test.run();
--- a/test/fleet_test.ts
+++ b/test/fleet_test.ts
@@ -15,12 +15,12 @@
   expectStream,
   LAYERS,
   makeWireConfig,
-  startServing,
+  startServingFleet,
   type TestFleet,
 } from "./support/fleet.ts";
 
 test("streams and plain calls are served in full", async () => {
-  await using fleet = await startServing();
+  await using fleet = await startServingFleet();
   const [{ address }] = fleet.gateways;
   const stream = await call(address, { path: "/stream/1" });
   assert.is(stream.status, 200);
@@ -34,7 +34,7 @@
 });
 
 test("unknown routes are answered with 404 and unknown keys with 401", async () => {
-  await using fleet = await startServing({ controls: 1, gateways: 1 });
+  await using fleet = await startServingFleet({ controls: 1, gateways: 1 });
   const [{ address }] = fleet.gateways;
   assert.is((await call(address, { path: "/none/1" })).status, 404);
   const unknown = await call(address, { path: "/once/1", key: "other" });
@@ -42,7 +42,7 @@
 });
 
 test("a stream that breaks off resumes on another engine with each event sent once", async () => {
-  await using fleet = await startServing();
+  await using fleet = await startServingFleet();
   const [{ address }] = fleet.gateways;
   // The route allows two attempts, so only the engines of the gateway's place fail.
   for (const engine of fleet.engines.slice(0, 2)) {
@@ -65,7 +65,7 @@
 }
 
 test("a stream runs on no more engines than its route allows", async () => {
-  await using fleet = await startServing();
+  await using fleet = await startServingFleet();
   const [{ address }] = fleet.gateways;
   const third = await fleet.addEngine("p1");
   const record = { engineId: third.engineId, address: third.address };
@@ -114,7 +114,11 @@
   ) => Promise<void> | void,
 ): Promise<void> {
   const events = 400;
-  await using fleet = await startServing({ controls: 1, gateways: 1, events });
+  await using fleet = await startServingFleet({
+    controls: 1,
+    gateways: 1,
+    events,
+  });
   const [{ address }] = fleet.gateways;
   const [first, second] = getFirstPath(fleet);
   const spare = await addSpareEngine(fleet, second);
@@ -139,7 +143,7 @@
   expectPathMove(({ used }) => used.drain()));
 
 test("a stalled stream continues in another place if no other engine of its own has the layers", async () => {
-  await using fleet = await startServing({ controls: 1, gateways: 1 });
+  await using fleet = await startServingFleet({ controls: 1, gateways: 1 });
   const [{ address }] = fleet.gateways;
   const [first, second] = getFirstPath(fleet);
   first.fault.stalledFor = second.address;
@@ -150,7 +154,7 @@
 });
 
 test("a stream moves away from a crashed engine before any report names that engine", async () => {
-  await using fleet = await startServing({ controls: 1, gateways: 1 });
+  await using fleet = await startServingFleet({ controls: 1, gateways: 1 });
   const [{ address }] = fleet.gateways;
   const [first, second] = getFirstPath(fleet);
   first.fault.stalledFor = second.address;
@@ -165,9 +169,9 @@
 });
 
 test("a request that is not repeatable runs once if its answer is lost", async () => {
-  await using fleet = await startServing({ controls: 1, gateways: 1 });
+  await using fleet = await startServingFleet({ controls: 1, gateways: 1 });
   const [{ address }] = fleet.gateways;
-  for (const engine of fleet.plain) engine.fault.losesAnswers = true;
+  for (const engine of fleet.plain) engine.fault.dropsAnswers = true;
   const lost = await call(address, { path: "/once/1" });
   assert.is(lost.status, 502);
   const count = () => fleet.plain.flatMap((engine) => engine.runs).length;
@@ -175,15 +179,15 @@
 });
 
 test("a repeatable request is retried if its answer is lost", async () => {
-  await using fleet = await startServing({ controls: 1, gateways: 1 });
+  await using fleet = await startServingFleet({ controls: 1, gateways: 1 });
   const [{ address }] = fleet.gateways;
-  for (const engine of fleet.plain) engine.fault.losesAnswers = true;
+  for (const engine of fleet.plain) engine.fault.dropsAnswers = true;
   assert.is((await call(address, { path: "/safe/1" })).status, 502);
   assert.is(fleet.plain.flatMap((engine) => engine.runs).length, 2);
 });
 
 test("a request that was sent is never reported as not run at its deadline", async () => {
-  await using fleet = await startServing({ controls: 1, gateways: 1 });
+  await using fleet = await startServingFleet({ controls: 1, gateways: 1 });
   const [{ address }] = fleet.gateways;
   const all = [...fleet.plain, ...fleet.engines];
   for (const engine of all) engine.fault.hangs = true;
@@ -194,16 +198,16 @@
 });
 
 test("an answer to another request is never forwarded", async () => {
-  await using fleet = await startServing({ controls: 1, gateways: 1 });
+  await using fleet = await startServingFleet({ controls: 1, gateways: 1 });
   const [{ address }] = fleet.gateways;
-  for (const engine of fleet.plain) engine.fault.mixesIds = true;
+  for (const engine of fleet.plain) engine.fault.swapsIds = true;
   const answer = await call(address, { path: "/once/1" });
   assert.is(answer.status, 502);
   assert.is(answer.headers["x-server-seal"], undefined);
 });
 
 test("a rejection is marked as not run and has a retry-after header", async () => {
-  await using fleet = await startServing({ controls: 1, gateways: 1 });
+  await using fleet = await startServingFleet({ controls: 1, gateways: 1 });
   const [{ address }] = fleet.gateways;
   for (const engine of fleet.plain) engine.fault.isFull = true;
   const answer = await call(address, { path: "/once/1" });
@@ -213,7 +217,7 @@
 });
 
 test("a run is cancelled when its caller disconnects", async () => {
-  await using fleet = await startServing({ controls: 1, gateways: 1 });
+  await using fleet = await startServingFleet({ controls: 1, gateways: 1 });
   const [{ address }] = fleet.gateways;
   const leaving = AbortSignal.timeout(40);
   const left = call(address, { path: "/stream/1", signal: leaving });
@@ -223,7 +227,7 @@
 });
 
 test("an engine gets no new requests once its drain is acknowledged", async () => {
-  await using fleet = await startServing();
+  await using fleet = await startServingFleet();
   const [{ address }] = fleet.gateways;
   const [leaving] = fleet.plain;
   await leaving.drain();
@@ -234,11 +238,11 @@
 });
 
 test("the highest version is in force on all processes; repeated and older ones are accepted", async () => {
-  await using fleet = await startServing();
+  await using fleet = await startServingFleet();
   assert.is(await fleet.put(makeWireConfig(7), 1), 200);
   assert.is(await fleet.put(makeWireConfig(7), 2), 200);
   assert.is(await fleet.put(makeWireConfig(5), 0), 200);
-  await fleet.settle(7);
+  await fleet.waitForVersion(7);
   for (const at of [0, 1, 2]) {
     const { status, text } = await fleet.readConfig(at);
     assert.is(status, 200);
@@ -250,17 +254,17 @@
 });
 
 test("a removed key is rejected and a new one is served", async () => {
-  await using fleet = await startServing({ controls: 1, gateways: 1 });
+  await using fleet = await startServingFleet({ controls: 1, gateways: 1 });
   const [{ address }] = fleet.gateways;
   await fleet.put(makeWireConfig(2, { keys: ["key-2"] }));
-  await fleet.settle(2);
+  await fleet.waitForVersion(2);
   assert.is((await call(address, { path: "/once/1" })).status, 401);
   const served = await call(address, { path: "/once/1", key: "key-2" });
   assert.is(served.status, 200);
 });
 
 test("requests are served without the leader, and no accepted change is lost", async () => {
-  await using fleet = await startServing();
+  await using fleet = await startServingFleet();
   const [{ address }] = fleet.gateways;
   const at = fleet.controls.findIndex(({ control }) =>
     control.getState().role === "leader"
@@ -273,13 +277,13 @@
     "another leader accepts changes",
     async () => await fleet.put(makeWireConfig(3), other) === 200,
   );
-  await fleet.settle(3);
+  await fleet.waitForVersion(3);
   assert.is(JSON.parse((await fleet.readConfig(other)).text).version, 3);
   assert.is((await call(address, { path: "/stream/1" })).text, expectStream());
 });
 
 test("an empty engine loads the layers of a crashed one", async () => {
-  await using fleet = await startServing();
+  await using fleet = await startServingFleet();
   const [lost] = fleet.engines.splice(0, 1);
   const range = lost.getRange();
   await lost.crash();
@@ -292,7 +296,7 @@
 
 test("a stopping gateway rejects streams that would outlast its grace period", async () => {
   const options = { controls: 1, gateways: 1, events: 200, graceMs: 1_200 };
-  await using fleet = await startServing(options);
+  await using fleet = await startServingFleet(options);
   const [{ address, gateway }] = fleet.gateways;
   const { text } = await call(address, { path: "/stream/1" });
   assert.is(text, expectStream(200));
@@ -307,7 +311,7 @@
 });
 
 test("a planned stop completes running requests and those that arrive during it", async () => {
-  await using fleet = await startServing({
+  await using fleet = await startServingFleet({
     controls: 1,
     gateways: 1,
     events: 100,
@@ -334,7 +338,7 @@
 });
 
 test("callers get the gateway addresses of their place", async () => {
-  await using fleet = await startServing();
+  await using fleet = await startServingFleet();
   await until(
     "both gateways are known",
     () => fleet.gateways[0].gateway.listAddresses("p1").length === 2,
--- a/test/invalid_config_test.ts
+++ b/test/invalid_config_test.ts
@@ -53,7 +53,7 @@
       "the valid configuration is accepted",
       async () => await fleet.put(valid) === 200,
     );
-    await fleet.settle(3);
+    await fleet.waitForVersion(3);
     assert.is(await fleet.put(config), 400);
     const { text } = await fleet.readConfig();
     assert.equal(JSON.parse(text), valid);
--- a/test/leader_change_test.ts
+++ b/test/leader_change_test.ts
@@ -17,7 +17,10 @@
 
 const VMS = Array.from({ length: GATEWAYS }, (_, at) => `g${at}`);
 
-function knowsAll({ toldGateways, toldRequests }: TestSession): boolean {
+function knowsAll(
+  { receivedGateways: toldGateways, receivedRequestCounts: toldRequests }:
+    TestSession,
+): boolean {
   return toldGateways.at(-1)?.length === GATEWAYS &&
     toldRequests.at(-1) === GATEWAYS;
 }
@@ -28,13 +31,18 @@
 test("a new leader sends no incomplete list of gateways and no incomplete load totals", async () => {
   await using fleet = await startSessionFleet();
   const gateways = VMS.map((vm, at) =>
-    fleet.open(vm, { returnMs: at % 2 === 0 ? 0 : RECONNECT_DELAY_MS })
+    fleet.open(vm, { reconnectDelayMs: at % 2 === 0 ? 0 : RECONNECT_DELAY_MS })
   );
   await until(
     "all gateways know all gateways and their requests",
     () => gateways.every(knowsAll),
   );
-  for (const { toldGateways, toldRequests } of gateways) {
+  for (
+    const {
+      receivedGateways: toldGateways,
+      receivedRequestCounts: toldRequests,
+    } of gateways
+  ) {
     toldGateways.length = 0;
     toldRequests.length = 0;
   }
@@ -48,20 +56,20 @@
     "all gateways have reconnected and know all requests",
     () =>
       gateways.every(({ welcomes }) => welcomes > 1) &&
-      gateways.every(({ toldRequests }) =>
+      gateways.every(({ receivedRequestCounts: toldRequests }) =>
         toldRequests.at(-1) === GATEWAYS + 1
       ),
   );
   assert.equal(
-    gateways.map(({ toldGateways }) =>
+    gateways.map(({ receivedGateways: toldGateways }) =>
       Math.min(...toldGateways.map((vms) => vms.length))
     ).filter((fewest) => fewest < GATEWAYS),
     [],
   );
-  assert.is(Math.min(...started.toldGateways.map((vms) => vms.length)), 21);
-  const leastRequests = gateways.map(({ toldRequests }) =>
-    Math.min(...toldRequests)
-  );
+  assert.is(Math.min(...started.receivedGateways.map((vms) => vms.length)), 21);
+  const leastRequests = gateways.map((
+    { receivedRequestCounts: toldRequests },
+  ) => Math.min(...toldRequests));
   assert.is(Math.min(...leastRequests), GATEWAYS + 1);
 });
 
@@ -75,13 +83,13 @@
   const [departed, ...others] = gateways;
   await fleet.stopLeader();
   await departed.link[Symbol.asyncDispose]();
-  const hasRemoved = ({ toldGateways }: TestSession) =>
+  const hasRemoved = ({ receivedGateways: toldGateways }: TestSession) =>
     toldGateways.at(-1)?.includes(departed.vm) === false;
   await until(
     "the other gateways have removed it",
     () => others.every(hasRemoved),
   );
-  assert.ok(others.every((one) => one.toldGateways.at(-1)?.length === 19));
+  assert.ok(others.every((one) => one.receivedGateways.at(-1)?.length === 19));
 });
 
 test.run();
--- a/test/leader_search_test.ts
+++ b/test/leader_search_test.ts
@@ -34,7 +34,7 @@
   await using unresponsive = await startSessionServer(() => {});
   let openAtHello = -1;
   await using leader = await startSessionServer((message) => {
-    if (message.type === "hello") openAtHello = unresponsive.getOpen();
+    if (message.type === "hello") openAtHello = unresponsive.getOpenCount();
   });
   await using _started = await startOneGateway([
     unresponsive.address,
@@ -53,7 +53,7 @@
     unresponsive.push(await startSessionServer(() => {}));
   }
   const countOpen = () =>
-    unresponsive.reduce((sum, server) => sum + server.getOpen(), 0);
+    unresponsive.reduce((sum, server) => sum + server.getOpenCount(), 0);
   let openAtHello = -1;
   await using leader = await startSessionServer((message) => {
     if (message.type === "hello") openAtHello = countOpen();
--- a/test/leaving_engine_runs_test.ts
+++ b/test/leaving_engine_runs_test.ts
@@ -11,9 +11,9 @@
 import { until } from "../demo/until.ts";
 import type { LayerEngine } from "../standins/index.ts";
 import {
-  addCopies,
+  addEnginesPerPlace,
   call,
-  startServing,
+  startServingFleet,
   type TestFleet,
 } from "./support/fleet.ts";
 
@@ -35,8 +35,8 @@
 
 test("a run on an engine that deregistered counts as an attempt", async () => {
   const size = { controls: 1, gateways: 1, events: 200 };
-  await using fleet = await startServing(size);
-  await addCopies(fleet);
+  await using fleet = await startServingFleet(size);
+  await addEnginesPerPlace(fleet);
   const { engines } = fleet;
   for (const { fault } of engines) fault.resetAfterEvents = RESET_AFTER_EVENTS;
   const answer = call(fleet.gateways[0].address, { path: "/stream/1" });
