--- a/test/leaving_engine_test.ts
+++ b/test/leaving_engine_test.ts
@@ -11,7 +11,7 @@
 import type { LayerEngine } from "../standins/index.ts";
 import {
   call,
-  startServing,
+  startServingFleet,
   stopLeader,
   type TestFleet,
 } from "./support/fleet.ts";
@@ -49,11 +49,11 @@
 
 for (const path of ["/stream/1", "/safe/1"]) {
   test(`an engine that marks an answer as leaving gets no more requests at ${path}`, async () => {
-    await using fleet = await startServing({ gateways: 2 });
+    await using fleet = await startServingFleet({ gateways: 2 });
     const engines = path === "/safe/1" ? fleet.plain : fleet.engines;
     const [near, other] = fleet.gateways;
     const engine = await findUsedEngine(fleet, { path, engines });
-    engine.fault.saysLeaving = true;
+    engine.fault.announcesLeaving = true;
     const before = countRequests(engine);
     await until("the engine has answered as leaving", async () => {
       await call(near.address, { path });
@@ -63,7 +63,7 @@
     await sendCalls(near.address, { path, times: 30 });
     assert.is(countRequests(engine), requestsBefore);
     // Later answers are not marked: the other gateway has to learn of it from the leader.
-    engine.fault.saysLeaving = false;
+    engine.fault.announcesLeaving = false;
     await sleep(PROPAGATION_MS);
     await sendCalls(other.address, { path, times: 30 });
     assert.is(countRequests(engine), requestsBefore);
@@ -77,11 +77,11 @@
 }
 
 test("an engine that marks a rejection as leaving gets no more requests", async () => {
-  await using fleet = await startServing({ controls: 1, gateways: 1 });
+  await using fleet = await startServingFleet({ controls: 1, gateways: 1 });
   const [{ address }] = fleet.gateways;
   const path = "/safe/1";
   const engine = await findUsedEngine(fleet, { path, engines: fleet.plain });
-  engine.fault.saysLeaving = true;
+  engine.fault.announcesLeaving = true;
   engine.fault.isFull = true;
   const before = countRequests(engine);
   await until("the engine has rejected a request", async () => {
--- a/test/limited_engine_test.ts
+++ b/test/limited_engine_test.ts
@@ -17,7 +17,7 @@
 
 import {
   call,
-  startServing,
+  startServingFleet,
   stopLeader,
   type TestFleet,
 } from "./support/fleet.ts";
@@ -76,12 +76,12 @@
   test(`gateways together keep to an engine's limit at ${path}`, async () => {
     // Short streams: the other engines have capacity for all, on a busy machine too.
     const size = { controls: 1, gateways: 4, events: 4 };
-    await using fleet = await startServing(size);
+    await using fleet = await startServingFleet(size);
     await callAll(fleet, { path, spanMs: 500 });
     const engine = getBusiestEngine(
       path === "/stream/1" ? fleet.engines : fleet.plain,
     );
-    engine.fault.namesLimit = [String(LIMIT_PER_S)];
+    engine.fault.announcesLimit = [String(LIMIT_PER_S)];
     const namedMs = performance.now();
     const statuses = await callAll(fleet, {
       path,
@@ -95,16 +95,16 @@
 }
 
 test("an engine that no longer sets a limit is used without one", async () => {
-  await using fleet = await startServing({ controls: 1, gateways: 3 });
+  await using fleet = await startServingFleet({ controls: 1, gateways: 3 });
   const path = "/safe/1";
-  for (const { fault } of fleet.plain) fault.namesLimit = ["1"];
+  for (const { fault } of fleet.plain) fault.announcesLimit = ["1"];
   await callAll(fleet, { path, spanMs: 1_000 });
   const limitedMs = performance.now();
   await callAll(fleet, { path, spanMs: 2_000 });
   const count = (fromMs: number) =>
     fleet.plain.flatMap(listRequestTimes).filter((ms) => ms >= fromMs).length;
   assert.ok(count(limitedMs) <= 6, `${count(limitedMs)} while limited`);
-  for (const { fault } of fleet.plain) fault.namesLimit = undefined;
+  for (const { fault } of fleet.plain) fault.announcesLimit = undefined;
   await until("all gateways know that the limits ended", async () => {
     const statuses = await callAll(fleet, { path, spanMs: 250 });
     return statuses.every((status) => status === 200);
@@ -112,10 +112,10 @@
 });
 
 test("a rejection without a limit doesn't end one", async () => {
-  await using fleet = await startServing({ controls: 1, gateways: 2 });
+  await using fleet = await startServingFleet({ controls: 1, gateways: 2 });
   const path = "/safe/1";
   const [engine] = fleet.plain;
-  engine.fault.namesLimit = ["5"];
+  engine.fault.announcesLimit = ["5"];
   await callAll(fleet, { path, spanMs: 1_000 });
   Object.assign(engine.fault, { isFull: true, hidesLimitWhenFull: true });
   const fromMs = performance.now();
@@ -126,9 +126,9 @@
 
 for (const path of ["/stream/1", "/safe/1"]) {
   test(`requests are rejected without delay when all engines are at their limits at ${path}`, async () => {
-    await using fleet = await startServing({ controls: 1, gateways: 3 });
+    await using fleet = await startServingFleet({ controls: 1, gateways: 3 });
     const engines = path === "/stream/1" ? fleet.engines : fleet.plain;
-    for (const { fault } of engines) fault.namesLimit = ["0.5"];
+    for (const { fault } of engines) fault.announcesLimit = ["0.5"];
     await callAll(fleet, { path, spanMs: 1_000 });
     const refusals = [];
     for (let at = 0; at < 60; at++) {
@@ -156,10 +156,10 @@
 }
 
 test("a new gateway and a new leader keep the limits", async () => {
-  await using fleet = await startServing({ controls: 3, gateways: 2 });
+  await using fleet = await startServingFleet({ controls: 3, gateways: 2 });
   const path = "/safe/1";
   const { plain } = fleet;
-  for (const { fault } of plain) fault.namesLimit = ["2"];
+  for (const { fault } of plain) fault.announcesLimit = ["2"];
   await callAll(fleet, { path, spanMs: 1_000 });
   const fromMs = performance.now();
   const added = fleet.addGateway();
--- a/test/many_gateways_test.ts
+++ b/test/many_gateways_test.ts
@@ -19,14 +19,14 @@
   unpackDocument,
 } from "../src/fleet/index.ts";
 import {
-  createFleetLink,
-  type FleetLink,
-} from "../src/gateway/create_fleet_link.ts";
+  createLeaderLink,
+  type LeaderLink,
+} from "../src/gateway/create_leader_link.ts";
 import { createMetrics } from "../src/metrics/index.ts";
 import { applyConfigChange, type RouteConfig } from "../src/routes/index.ts";
 import { findSeeds } from "./support/find_seeds.ts";
 import { makeWireConfig } from "./support/fleet.ts";
-import { makeBeat } from "./support/make_beat.ts";
+import { makeHeartbeat } from "./support/make_beat.ts";
 
 const GATEWAYS = 200;
 const ENGINES = 60;
@@ -37,7 +37,7 @@
 
 /** A gateway's session with the state that it received. */
 interface GatewaySession {
-  readonly link: FleetLink;
+  readonly link: LeaderLink;
   readonly engineIds: Set<string>;
   /** Fewest engines known at a time since all were known. */
   fewestEngines: number;
@@ -80,7 +80,7 @@
     gateway.fewestRequests = Math.min(gateway.fewestRequests, requests);
   }
 
-  const link = createFleetLink({
+  const link = createLeaderLink({
     getSeedAddresses: () => seeds.map((seed) => seed.peerAddress),
     getGateway: () => ({
       vm: `g${at}`,
@@ -91,14 +91,14 @@
     getGatewayCount: () => GATEWAYS,
     getVersion,
     takeSuspects: () => [],
-    takeLost: () => [],
-    listLeaves: () => [],
+    takeLostEngines: () => [],
+    listUnreportedLeaving: () => [],
     takeLimitReports: () => [],
-    takeSlow: () => [],
+    takeSlowEngines: () => [],
     getLoads: () => ({ e0: { tokens: 100, requests: 1 } }),
-    getRepeatsWanted: () => ({}),
+    getWantedLoans: () => ({}),
     takeActivity: () => ({}),
-    getQuarantineNews: () => ({}),
+    collectQuarantineUpdate: () => ({}),
     onWelcome: () => {},
     onMessage(message) {
       if (message.type === "engines") applyEngines(message);
@@ -111,7 +111,7 @@
       }
       if (message.type === "loads") applyLoads(message);
     },
-    onConfirmed: (_sentMs, version) => {
+    onVersionConfirmed: (_sentMs, version) => {
       gateway.confirmedVersion = version;
     },
     now: () => performance.now(),
@@ -133,8 +133,8 @@
         dataFolder: join(folder, String(at)),
         isFirstStart: true,
         voters: CONTROLS,
-        beatIntervalMs: HEARTBEAT_MS,
-        repeats: { extra: 100, windowMs: 10_000 },
+        upstreamHeartbeatIntervalMs: HEARTBEAT_MS,
+        retryBudget: { extra: 100, windowMs: 10_000 },
       }, {
         getSeeds: () => seeds,
         decodeConfig,
@@ -155,7 +155,7 @@
     sequence += 1;
     const [any] = running;
     for (let at = 0; at < ENGINES; at++) {
-      const beat = makeBeat({
+      const beat = makeHeartbeat({
         engineId: `e${at}`,
         service: "model",
         address: `10.1.0.${at}:80`,
--- a/test/rest_soak_test.ts
+++ b/test/rest_soak_test.ts
@@ -6,14 +6,17 @@
 
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { MOST_WITHIN_REST, runRestSoak } from "./support/run_rest_soak.ts";
+import {
+  MAX_REQUESTS_IN_BACK_OFF,
+  runRestSoak,
+} from "./support/run_rest_soak.ts";
 
 for (const seed of [1, 2]) {
   test(`back-offs and leaving engines are respected with seed ${seed}`, async () => {
     const report = await runRestSoak({ seed, lengthMs: 8_000 });
     const details = JSON.stringify(report);
     assert.ok(report.rests > 0 && report.leaves > 0, details);
-    assert.ok(report.worstRest <= MOST_WITHIN_REST, details);
+    assert.ok(report.worstRest <= MAX_REQUESTS_IN_BACK_OFF, details);
     assert.is(report.lateAtHearer, 0, details);
     assert.is(report.lateAnywhere, 0, details);
     assert.is(report.spoilt, 0, details);
--- a/test/stalled_leader_test.ts
+++ b/test/stalled_leader_test.ts
@@ -38,7 +38,10 @@
   const gateways = ["g0", "g1", "g2"].map((vm) => fleet.open(vm));
   await until(
     "all gateways know the requests of all",
-    () => gateways.every(({ toldRequests }) => toldRequests.at(-1) === 3),
+    () =>
+      gateways.every(({ receivedRequestCounts: toldRequests }) =>
+        toldRequests.at(-1) === 3
+      ),
   );
   for (let stall = 0; stall < 3; stall++) {
     stallLoop();
@@ -46,7 +49,10 @@
   }
   assert.equal(lost, []);
   assert.equal(gateways.map(({ welcomes }) => welcomes), [1, 1, 1]);
-  assert.equal(gateways.flatMap(({ goneEngines }) => goneEngines), []);
+  assert.equal(
+    gateways.flatMap(({ removedIds: goneEngines }) => goneEngines),
+    [],
+  );
 });
 
 test.run();
--- a/test/support/beat_engines.ts
+++ b/test/support/beat_engines.ts
@@ -11,7 +11,7 @@
   createClientCredentials,
   wire,
 } from "../../src/wire/index.ts";
-import { makeBeat } from "./make_beat.ts";
+import { makeHeartbeat } from "./make_beat.ts";
 
 /** Data that the worker thread gets from the test. */
 export interface HeartbeatThreadData {
@@ -34,7 +34,7 @@
     const address = `10.1.0.${at}:80`;
     const call = {
       type: "beat",
-      beat: makeBeat({ engineId, service: "model", address, sequence }),
+      beat: makeHeartbeat({ engineId, service: "model", address, sequence }),
     };
     // Sent to all; control processes that don't lead or have stopped reject it.
     for (const client of clients) {
--- a/test/support/crash_soak_limits.ts
+++ b/test/support/crash_soak_limits.ts
@@ -8,7 +8,7 @@
  * Engines that one request may crash: of three concurrent copies each may be sent
  * twice before all gateways know of the first crashes, and the trial crashes one more.
  */
-export const MOST_ENDS = 7;
+export const MAX_CRASHES = 7;
 
 /** Engines that may crash after three crashes are known to all: that of the trial. */
-export const MOST_LATE_ENDS = 1;
+export const MAX_LATE_CRASHES = 1;
--- a/test/support/fleet.ts
+++ b/test/support/fleet.ts
@@ -60,9 +60,9 @@
   put(config: object, at?: number): Promise<number>;
   readConfig(at?: number): Promise<{ status: number; text: string }>;
   /** Resolves once all gateways hold at least this version and are ready. */
-  settle(version: number): Promise<void>;
+  waitForVersion(version: number): Promise<void>;
   addEngine(place?: string): Promise<LayerEngine>;
-  addPlain(): Promise<LayerEngine>;
+  addPlainEngine(): Promise<LayerEngine>;
   addGateway(): Promise<TestGateway>;
 }
 
@@ -140,8 +140,8 @@
       dataFolder: join(folder, String(at)),
       isFirstStart: true,
       voters: controlCount,
-      beatIntervalMs: 200,
-      repeats: { extra: 100, windowMs: 10_000 },
+      upstreamHeartbeatIntervalMs: 200,
+      retryBudget: { extra: 100, windowMs: 10_000 },
     }, {
       getSeeds: () => seeds,
       decodeConfig,
@@ -179,7 +179,7 @@
       place: "p1",
       listen: { host: "127.0.0.1", port },
       revokeMs: 5_000,
-      repeats: { ratio: 0.2, extra: 100, windowMs: 10_000 },
+      retryBudget: { ratio: 0.2, extra: 100, windowMs: 10_000 },
       graceMs,
     }, {
       codec: callerCodec,
@@ -225,7 +225,7 @@
       );
       return { status: answer.statusCode, text: await answer.body.text() };
     },
-    async settle(version) {
+    async waitForVersion(version) {
       await until(
         "gateways hold the version",
         () =>
@@ -234,7 +234,7 @@
           ),
       );
     },
-    async addPlain() {
+    async addPlainEngine() {
       const engine = await startUpstream("plain");
       plain.push(engine);
       return engine;
@@ -293,7 +293,7 @@
 }
 
 /** Adds two engines to each data centre; four engines can then start a stream. */
-export async function addCopies(fleet: TestFleet): Promise<void> {
+export async function addEnginesPerPlace(fleet: TestFleet): Promise<void> {
   for (const place of ["p1", "p1", "p2", "p2"]) await fleet.addEngine(place);
   const listFirstEngines = () =>
     fleet.engines.filter((engine) => {
@@ -307,7 +307,7 @@
 }
 
 /** Starts a fleet with a configuration and waits until it serves. */
-export async function startServing(
+export async function startServingFleet(
   options: Parameters<typeof startTestFleet>[0] = {},
 ): Promise<TestFleet> {
   const fleet = await startTestFleet(options);
@@ -315,7 +315,7 @@
     "a configuration is accepted",
     async () => await fleet.put(makeWireConfig(1)) === 200,
   );
-  await fleet.settle(1);
+  await fleet.waitForVersion(1);
   await waitForPlacement(fleet);
   return fleet;
 }
--- a/test/support/make_beat.ts
+++ b/test/support/make_beat.ts
@@ -1,7 +1,9 @@
-import type { EngineBeat } from "../../src/engines/index.ts";
+import type { EngineHeartbeat } from "../../src/engines/index.ts";
 
 /** Makes the first heartbeat of upstream `e1` of service `s`. */
-export function makeBeat(fields: Partial<EngineBeat> = {}): EngineBeat {
+export function makeHeartbeat(
+  fields: Partial<EngineHeartbeat> = {},
+): EngineHeartbeat {
   return {
     engineId: "e1",
     service: "s",
--- a/test/support/make_rate_limits.ts
+++ b/test/support/make_rate_limits.ts
@@ -16,7 +16,7 @@
 ): RateLimits {
   return createRateLimits({
     requestGrants: () => false,
-    onNews: () => {},
+    onReportDue: () => {},
     getGatewayCount: () => 1,
     now: () => 0,
     log: () => {},
--- a/test/support/open_link.ts
+++ b/test/support/open_link.ts
@@ -5,20 +5,20 @@
  */
 
 import {
-  createFleetLink,
-  type CreateFleetLinkOptions,
-  type FleetLink,
-} from "../../src/gateway/create_fleet_link.ts";
+  createLeaderLink,
+  type CreateLeaderLinkOptions,
+  type LeaderLink,
+} from "../../src/gateway/create_leader_link.ts";
 
 /** Opens a session of a gateway that has nothing to report. */
 export function openLink(
   options:
-    & Pick<CreateFleetLinkOptions, "getSeedAddresses">
-    & Partial<CreateFleetLinkOptions>
+    & Pick<CreateLeaderLinkOptions, "getSeedAddresses">
+    & Partial<CreateLeaderLinkOptions>
     & { readonly vm?: string },
-): FleetLink {
+): LeaderLink {
   const { vm = "g0", ...given } = options;
-  return createFleetLink({
+  return createLeaderLink({
     getGateway: () => ({
       vm,
       place: "p0",
@@ -28,17 +28,17 @@
     getGatewayCount: () => 0,
     getVersion: () => -1,
     takeSuspects: () => [],
-    takeLost: () => [],
-    listLeaves: () => [],
+    takeLostEngines: () => [],
+    listUnreportedLeaving: () => [],
     takeLimitReports: () => [],
-    takeSlow: () => [],
+    takeSlowEngines: () => [],
     getLoads: () => ({}),
-    getRepeatsWanted: () => ({}),
+    getWantedLoans: () => ({}),
     takeActivity: () => ({}),
-    getQuarantineNews: () => ({}),
+    collectQuarantineUpdate: () => ({}),
     onWelcome: () => {},
     onMessage: () => {},
-    onConfirmed: () => {},
+    onVersionConfirmed: () => {},
     now: () => performance.now(),
     random: () => 1,
     log: () => {},
--- a/test/support/run_config_soak.ts
+++ b/test/support/run_config_soak.ts
@@ -13,7 +13,12 @@
   createRandomSource,
   type RandomSource,
 } from "../../proof/random_source.ts";
-import { call, makeWireConfig, startServing, stopLeader } from "./fleet.ts";
+import {
+  call,
+  makeWireConfig,
+  startServingFleet,
+  stopLeader,
+} from "./fleet.ts";
 import type { TestFleet, TestGateway } from "./fleet.ts";
 import { listInvalidConfigs, makeAddedRoute } from "./make_config.ts";
 
@@ -69,7 +74,7 @@
 ): Promise<ConfigSoakReport> {
   const createRandomFor = (actor: number) =>
     createRandomSource(seed * ACTOR_COUNT + actor);
-  await using fleet = await startServing({ gateways: 4 });
+  await using fleet = await startServingFleet({ gateways: 4 });
   const endMs = performance.now() + lengthMs;
   const isOver = () => performance.now() >= endMs;
   const sent = new Map<number, Set<string>>();
@@ -239,7 +244,7 @@
     return last !== "";
   });
   const version = recordRead(last, newestAcknowledged);
-  await fleet.settle(version);
+  await fleet.waitForVersion(version);
   await checkRoutes(last);
   const { routes } = JSON.parse(last) as { routes: object[] };
   return { seed, routes: routes.length, ...tally };
--- a/test/support/run_crash_soak.ts
+++ b/test/support/run_crash_soak.ts
@@ -13,7 +13,7 @@
   call,
   type CallAnswer,
   expectStream,
-  startServing,
+  startServingFleet,
   stopLeader,
 } from "./fleet.ts";
 
@@ -68,9 +68,9 @@
   { seed, lengthMs }: RunCrashSoakOptions,
 ): Promise<CrashSoakReport> {
   const { number: random } = createRandomSource(seed);
-  await using fleet = await startServing();
+  await using fleet = await startServingFleet();
   for (const place of ["p1", "p1", "p2", "p2"]) await fleet.addEngine(place);
-  for (let at = 0; at < 3; at++) await fleet.addPlain();
+  for (let at = 0; at < 3; at++) await fleet.addPlainEngine();
   const all = [...fleet.engines, ...fleet.plain];
   for (const { fault } of all) {
     fault.crashesOnBodies = CRASHING_REQUESTS.map(({ body }) => body);
@@ -123,7 +123,7 @@
     while (!isOver()) {
       await sleep(300 + random() * 1_200);
       const engine = all[Math.floor(random() * all.length)];
-      await engine.fail();
+      await engine.failAndRestart();
     }
   }
 
--- a/test/support/run_limit_soak.ts
+++ b/test/support/run_limit_soak.ts
@@ -8,7 +8,7 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { createRandomSource } from "../../proof/random_source.ts";
 import type { EngineArrival, LayerEngine } from "../../standins/index.ts";
-import { startServing, stopLeader, type TestFleet } from "./fleet.ts";
+import { startServingFleet, stopLeader, type TestFleet } from "./fleet.ts";
 import {
   countRepeatedRuns,
   freezeEngine,
@@ -95,7 +95,7 @@
   // and not on the timing of the others.
   const createRandomFor = (actor: number) =>
     createRandomSource(seed * ACTOR_COUNT + actor);
-  await using fleet = await startServing({ gateways: 4 });
+  await using fleet = await startServingFleet({ gateways: 4 });
   const all = [...fleet.engines, ...fleet.plain];
   const restarts = createRandomFor(0);
   for (const { fault } of all) {
@@ -107,7 +107,7 @@
   const tally = { asked: 0, served: 0, refused: 0, spoilt: 0 };
 
   function announce(engine: LayerEngine, lines: readonly string[] | undefined) {
-    engine.fault.namesLimit = lines;
+    engine.fault.announcesLimit = lines;
     const limitPerS = LIMITS_PER_S.get(lines?.join() ?? "") ?? Infinity;
     history.get(engine)?.push({ atMs: performance.now(), limitPerS });
   }
@@ -133,7 +133,7 @@
       await sleep(random.integer(1_500, 4_000));
       const engine = random.pick(all);
       const frozenMs = random.integer(300, 800);
-      if (random.chance(0.3)) await engine.fail();
+      if (random.chance(0.3)) await engine.failAndRestart();
       else if (random.chance(0.5)) await freezeEngine(engine, frozenMs);
       else await replaceGateway(fleet);
     }
--- a/test/support/run_rest_soak.ts
+++ b/test/support/run_rest_soak.ts
@@ -9,7 +9,7 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { createRandomSource } from "../../proof/random_source.ts";
 import type { EngineArrival, LayerEngine } from "../../standins/index.ts";
-import { startServing, stopLeader } from "./fleet.ts";
+import { startServingFleet, stopLeader } from "./fleet.ts";
 import {
   countRepeatedRuns,
   freezeEngine,
@@ -47,7 +47,7 @@
 }
 
 /** Requests that one gateway may send during a back-off, as the aim states. */
-export const MOST_WITHIN_REST = 2;
+export const MAX_REQUESTS_IN_BACK_OFF = 2;
 
 /** Ms after `Retry-After` was sent in which requests may still be in flight. */
 const IN_FLIGHT_MS = 500;
@@ -95,9 +95,9 @@
   // and not on the timing of the others.
   const createRandomFor = (actor: number) =>
     createRandomSource(seed * ACTOR_COUNT + actor);
-  await using fleet = await startServing({ gateways: 3 });
+  await using fleet = await startServingFleet({ gateways: 3 });
   for (const place of ["p1", "p1", "p2", "p2"]) await fleet.addEngine(place);
-  for (let at = 0; at < 3; at++) await fleet.addPlain();
+  for (let at = 0; at < 3; at++) await fleet.addPlainEngine();
   const all = [...fleet.engines, ...fleet.plain];
   const restarts = createRandomFor(0);
   for (const { fault } of all) {
@@ -112,7 +112,9 @@
     while (!isOver()) {
       for (const { fault } of all) {
         const [lines] = random.pick(RETRY_AFTER_VALUES);
-        fault.asksForRest = random.chance(OVERLOADED_SHARE) ? lines : undefined;
+        fault.rejectsWithRetryAfter = random.chance(OVERLOADED_SHARE)
+          ? lines
+          : undefined;
       }
       await sleep(random.integer(300, 1_000));
     }
@@ -125,7 +127,7 @@
     for (const { fault } of candidates) {
       if (isOver()) return;
       await sleep(lengthMs / candidates.length * random.number());
-      fault.saysLeaving = true;
+      fault.announcesLeaving = true;
     }
   }
 
@@ -135,7 +137,7 @@
       await sleep(random.integer(800, 2_300));
       const engine = random.pick(all);
       const frozenMs = random.integer(300, 800);
-      if (random.chance(0.5)) await engine.fail();
+      if (random.chance(0.5)) await engine.failAndRestart();
       else await freezeEngine(engine, frozenMs);
     }
   }
--- a/test/support/start_one_gateway.ts
+++ b/test/support/start_one_gateway.ts
@@ -21,7 +21,7 @@
     place: "p1",
     listen: { host: "127.0.0.1", port },
     revokeMs: 5_000,
-    repeats: { ratio: 0.2, extra: 100, windowMs: 10_000 },
+    retryBudget: { ratio: 0.2, extra: 100, windowMs: 10_000 },
     graceMs: 300,
   }, {
     codec: callerCodec,
--- a/test/support/start_session_fleet.ts
+++ b/test/support/start_session_fleet.ts
@@ -17,7 +17,7 @@
   packDocument,
   startFleetControl,
 } from "../../src/fleet/index.ts";
-import type { FleetLink } from "../../src/gateway/create_fleet_link.ts";
+import type { LeaderLink } from "../../src/gateway/create_leader_link.ts";
 import { createGatewayList } from "../../src/gateway/create_gateway_list.ts";
 import type { Logger } from "../../src/logs/index.ts";
 import { createMetrics } from "../../src/metrics/index.ts";
@@ -32,13 +32,13 @@
 /** A gateway's session with the messages it received. */
 export interface TestSession {
   readonly vm: string;
-  readonly link: FleetLink;
+  readonly link: LeaderLink;
   /** VMs of all gateways, one list per message received. */
-  readonly toldGateways: (readonly string[])[];
+  readonly receivedGateways: (readonly string[])[];
   /** Requests in flight on the first engine, one number per message received. */
-  readonly toldRequests: number[];
+  readonly receivedRequestCounts: number[];
   /** Engines that were reported as gone. */
-  readonly goneEngines: string[];
+  readonly removedIds: string[];
   /** Number of welcomes from a leader. */
   welcomes: number;
 }
@@ -46,7 +46,7 @@
 /** Options of {@link SessionFleet.open}. */
 export interface OpenSessionOptions {
   /** Delay, in ms, after the loss of a leader until it searches for the next one. */
-  readonly returnMs?: number;
+  readonly reconnectDelayMs?: number;
 }
 
 /** Control processes with sessions. */
@@ -85,8 +85,8 @@
         dataFolder: join(folder, String(at)),
         isFirstStart: true,
         voters: controls,
-        beatIntervalMs: HEARTBEAT_INTERVAL_MS,
-        repeats: { extra: 100, windowMs: 10_000 },
+        upstreamHeartbeatIntervalMs: HEARTBEAT_INTERVAL_MS,
+        retryBudget: { extra: 100, windowMs: 10_000 },
       }, {
         getSeeds: () => seeds,
         decodeConfig,
@@ -120,23 +120,26 @@
     },
   );
 
-  function open(vm: string, { returnMs = 0 }: OpenSessionOptions = {}) {
+  function open(
+    vm: string,
+    { reconnectDelayMs: returnMs = 0 }: OpenSessionOptions = {},
+  ) {
     const gateways = createGatewayList();
     const session: Omit<TestSession, "link"> = {
       vm,
-      toldGateways: [],
-      toldRequests: [],
-      goneEngines: [],
+      receivedGateways: [],
+      receivedRequestCounts: [],
+      removedIds: [],
       welcomes: 0,
     };
     function record(message: LeaderMessage): void {
-      if (message.type === "engines") session.goneEngines.push(...message.gone);
+      if (message.type === "engines") session.removedIds.push(...message.gone);
       if (message.type === "loads") {
-        session.toldRequests.push(message.loads.e0?.requests ?? 0);
+        session.receivedRequestCounts.push(message.loads.e0?.requests ?? 0);
       }
       if (message.type !== "gateways") return;
-      gateways.take(message);
-      session.toldGateways.push(gateways.list().map((one) => one.vm));
+      gateways.update(message);
+      session.receivedGateways.push(gateways.list().map((one) => one.vm));
     }
     const link = openLink({
       vm,
--- a/test/support/start_session_server.ts
+++ b/test/support/start_session_server.ts
@@ -27,7 +27,7 @@
   /** Versions in the hello messages received. */
   readonly hellos: readonly number[];
   /** Returns the number of open sessions. */
-  getOpen(): number;
+  getOpenCount(): number;
 }
 
 /** The first message to a gateway whose session is accepted. */
@@ -69,7 +69,7 @@
   return {
     address,
     hellos,
-    getOpen: () => open,
+    getOpenCount: () => open,
     async [Symbol.asyncDispose]() {
       await Promise.resolve();
       server.forceShutdown();
