--- a/spec/adopt.pml
+++ b/spec/adopt.pml
@@ -1,33 +1,36 @@
-/* Entries take over configurations: what is in force never reverts.
+/* Activation of configuration revisions by entries: the active revision never
+ * goes back.
  *
- * The accepted revision grows. Control processes lag behind it by any amount;
- * one that was cut off for long comes back with what it had. An entry's
- * session begins with what a leader that has confirmed its lead had accepted;
- * later pieces of a session may come late and in any order, also from a control
- * process that lags. An entry keeps its last revision on a disk, or has none
- * and starts again with nothing in force until a session begins.
+ * The accepted revision only increases. Control processes may lag behind it by
+ * any number of revisions; after a long network partition one continues with
+ * the revision it had. A session of an entry starts with the accepted revision
+ * of a leader that has confirmed its leadership. Later updates of the session
+ * may be delayed and reordered, and may come from a lagging control process. An
+ * entry with a disk stores its last revision there; an entry without one
+ * restarts with no active revision until a session starts.
  *
- * Faults that must be caught, one each by -D:
- *   TAKE_ANY     an entry takes whatever comes
- *   FORGET_DISK  an entry with a disk starts again without what it had
- *   SERVE_UNCOMMITTED  control hands out a revision before it is accepted
- *   BEGIN_STALE  a session begins with what a lagging control process has
+ * Injected faults that the check must detect, each enabled with -D:
+ *   TAKE_ANY           an entry activates every update, even an older one
+ *   FORGET_DISK        an entry with a disk restarts without its stored revision
+ *   SERVE_UNCOMMITTED  control sends a revision before it is accepted
+ *   BEGIN_STALE        a session starts with the revision of a lagging control
+ *                      process
  */
 #define ENTRIES 2
 #define CONTROLS 2
 #define MAX_REVISION 4
 
-byte accepted;              /* highest revision that was accepted */
-byte proposed;              /* highest revision that stands in a leader's log */
-byte known[CONTROLS];       /* what each control process has applied */
+byte accepted;              /* highest accepted revision */
+byte proposed;              /* highest revision in a leader's log */
+byte known[CONTROLS];       /* revision that each control process applied */
 byte inForce[ENTRIES];
 byte disk[ENTRIES];
-byte flying[ENTRIES];       /* a piece on its way, 0 for none */
-byte highest[ENTRIES];      /* highest that was ever in force in this life */
-byte least[ENTRIES];        /* accepted when the entry last started */
+byte flying[ENTRIES];       /* update in transit; 0 for none */
+byte highest[ENTRIES];      /* highest active revision; without a disk, since the restart */
+byte least[ENTRIES];        /* accepted revision when the entry last started */
 bool inSession[ENTRIES];
 
-/* A new process: what was on its way to the old one is lost. */
+/* Starts a new process; the update in transit to the old one is lost. */
 inline restart(e) {
   flying[e] = 0;
   inSession[e] = false;
@@ -67,7 +70,7 @@
           :: else
           fi;
           flying[e] = 0
-       /* restart: entry 0 has a disk, entry 1 has none */
+       /* Restart: entry 0 has a disk, entry 1 has none. */
        :: e == 0 ->
 #ifdef FORGET_DISK
           inForce[e] = 0;
@@ -80,7 +83,8 @@
        fi;
        assert(inForce[e] >= highest[e]);
        assert(inForce[e] <= accepted);
-       /* Once a session's first piece is in force, it is no older state. */
+       /* Once the first update of a session is active, the entry is at least at
+        * the revision that was accepted when it started. */
        assert(!inSession[e] || flying[e] != 0 || inForce[e] >= least[e]);
        highest[e] = inForce[e];
        e = 0; c = 0
--- a/spec/claims.pml
+++ b/spec/claims.pml
@@ -1,20 +1,21 @@
-/* At most one run of a request that must not run twice.
+/* At-most-once execution of requests that must not run twice.
  *
- * Two entries get the same request, from one caller that sends it again. Each
- * asks the quorum for a claim before it sends the request on. The leader's
- * proposal becomes part of the log at any later time, or never; the leader may
- * change in between, so that the entry is told `unavailable` although the
- * claim is recorded later. An entry may crash at any time; a new process then
- * serves the caller's next try. What `not_run` promises is checked too.
+ * A caller retries a request, so that two entries receive it. Each entry
+ * requests a claim from the quorum before it forwards the request to the
+ * upstream. The leader's proposal is committed at any later time or never. The
+ * leader may change in between: the entry then receives `unavailable` although
+ * the claim is committed later. An entry may crash at any time; a new process
+ * then serves the caller's next attempt. The model also checks that a request
+ * with the outcome `not_run` did not run.
  *
- * Faults that must be caught, one each by -D:
- *   SEND_FIRST      the request is sent before the claim is known
- *   REGRANT_DEAD    a claim whose holder has died is granted again
- *   RETRY_UNKNOWN   an entry sends again after an answer that never came
- *   FREE_UNKNOWN    an entry gives a claim back although the request may have run
- *   WRONG_NOT_RUN   a timeout after sending is reported as not run
- *   ONE_HOLDER      all attempts of an entry are one holder, so that giving
- *                   up one gives back the claim of another
+ * Injected faults that the check must detect, each enabled with -D:
+ *   SEND_FIRST      the request is sent before the claim is granted
+ *   REGRANT_DEAD    a claim is granted again after its holder crashed
+ *   RETRY_UNKNOWN   an entry sends the request again after it got no response
+ *   FREE_UNKNOWN    an entry releases a claim although the request may have run
+ *   WRONG_NOT_RUN   a timeout after sending is reported as `not_run`
+ *   ONE_HOLDER      all attempts of an entry share one holder id, so that the
+ *                   release of one attempt frees the claim of another
  */
 #define ENTRIES 2
 #define MAX_TRIES 3
@@ -25,22 +26,22 @@
 #define GRANTED 2
 #define SENT 3
 
-/* The claim in the log. */
+/* States of the claim in the log. */
 #define FREE 0
 #define RUNNING 1
 #define ENDED 2
 
 byte phase[ENTRIES];
-byte asked[ENTRIES];        /* proposals on their way, by incarnation */
-byte releases[ENTRIES];     /* releases on their way, by incarnation */
-byte incarnation[ENTRIES];  /* names the process, or each attempt of it */
-byte holder;                /* entry + 1 */
+byte asked[ENTRIES];        /* pending proposal: incarnation + 1; 0 for none */
+byte releases[ENTRIES];     /* pending release: incarnation + 1; 0 for none */
+byte incarnation[ENTRIES];  /* identifies an attempt; with ONE_HOLDER, the process */
+byte holder;                /* entry + 1 of the last claim's holder */
 byte holderIncarnation;
 byte claim;
-byte runs;                  /* how often the upstream ran the request */
+byte runs;                  /* number of times the upstream ran the request */
 byte tries;
 byte crashes;
-bool ran[ENTRIES];          /* this entry's try reached the upstream */
+bool ran[ENTRIES];          /* the entry's current attempt reached the upstream */
 
 inline runRequest() {
   runs++;
@@ -77,7 +78,7 @@
      fi
 #endif
   :: else ->
-     /* running, ended or unknown: this try does not run it */
+     /* Running, ended or unknown: this attempt does not run the request. */
      if
      :: phase[e] == ASKED && asked[e] == incarnation[e] + 1 -> phase[e] = IDLE
      :: else
@@ -86,7 +87,7 @@
   asked[e] = 0
 }
 
-/* The release is recorded behind the claim that it gives back. */
+/* A release follows the claim that it frees in the log. */
 inline recordRelease(e) {
   if
   :: claim == RUNNING && holder == e + 1 && holderIncarnation == releases[e] ->
@@ -96,7 +97,7 @@
   releases[e] = 0
 }
 
-/* No answer came: the end is unknown and the claim stays. */
+/* Without a response the outcome is unknown, and the claim is kept. */
 inline noAnswer(e) {
 #ifdef FREE_UNKNOWN
   releases[e] = incarnation[e] + 1;
@@ -110,7 +111,7 @@
   skip
 }
 
-/* A caller that is told `not_run` may count on it. */
+/* Reports `not_run`, which guarantees the caller that the request did not run. */
 inline tellNotRun(e) {
   assert(!ran[e])
 }
@@ -125,16 +126,16 @@
        :: phase[e] == IDLE && tries < MAX_TRIES && asked[e] == 0 &&
           releases[e] == 0 -> begin(e)
        :: asked[e] != 0 -> recordClaim(e)
-       /* The leader is gone: the proposal may be recorded yet, or is lost. */
+       /* The leader failed: its proposal is lost, or may still be committed. */
        :: phase[e] == ASKED && releases[e] == 0 ->
           phase[e] = IDLE; releases[e] = incarnation[e] + 1; tellNotRun(e)
        :: asked[e] != 0 && phase[e] != ASKED -> asked[e] = 0
-       /* A release is taken only after the claim before it is settled. */
+       /* A release waits until the claim before it is committed or lost. */
        :: releases[e] != 0 && asked[e] == 0 -> recordRelease(e)
-       /* Sent; the upstream may run it now or late, or never hears of it. */
+       /* Sent: the upstream may run it at once or later, or never receive it. */
        :: phase[e] == GRANTED -> phase[e] = SENT; ran[e] = true; runRequest()
        :: phase[e] == GRANTED && releases[e] == 0 ->
-          /* no connection: surely not run, the claim is given back */
+          /* Connection failed: it certainly did not run; releases the claim. */
           phase[e] = IDLE; releases[e] = incarnation[e] + 1; tellNotRun(e)
        :: phase[e] == SENT ->
           phase[e] = IDLE;
--- a/spec/quorum.pml
+++ b/spec/quorum.pml
@@ -1,16 +1,19 @@
-/* The core of the quorum: election, log, commit, voter change, wiped disk.
+/* The consensus protocol: leader election, log replication, commit, membership
+ * change and loss of a disk.
  *
- * Messages are taken as steps between two replicas that may happen at any
- * time or never; a replica may crash at any time and keeps what it synced.
- * Time is left out: whatever the clocks do, what is asserted must hold.
+ * A message is modelled as one step between two replicas, which may happen at
+ * any time or never. A replica may crash at any time and keeps what it synced.
+ * The model has no time: the assertions must hold whatever the clocks do.
  *
- * Faults that must be caught, one each by -D:
- *   LOSE_VOTE           a crash forgets the vote
- *   COMMIT_OLD_TERM     an entry of an older term is committed by counting
- *   ANSWER_BEFORE_SYNC  a follower answers before its entries are synced
- *   ANY_LOG             a vote is given whatever the candidate's log holds
- *   SAME_ID             a wiped replica comes back under its old id and votes
- *   TWO_AT_A_TIME       two voters are removed in one change
+ * Injected faults that the check must detect, each enabled with -D:
+ *   LOSE_VOTE           a replica loses its vote in a crash
+ *   COMMIT_OLD_TERM     an entry of an older term is committed by counting its
+ *                       replicas
+ *   ANSWER_BEFORE_SYNC  a follower acknowledges entries before they are synced
+ *   ANY_LOG             a vote is granted even if the candidate's log is behind
+ *   SAME_ID             a replica with a wiped disk rejoins under its old id and
+ *                       votes
+ *   TWO_AT_A_TIME       two voters are removed in one membership change
  */
 #ifndef REPLICAS
 #define REPLICAS 3
@@ -33,25 +36,25 @@
 
 typedef Replica {
   byte term;
-  byte voted;            /* id + 1, 0 for none */
+  byte voted;            /* id + 1 of the candidate; 0 for none */
   byte role;
-  byte votes;            /* bits of those that granted */
+  byte votes;            /* bit mask of the replicas that granted a vote */
   byte length;
-  byte synced;           /* entries on the disk */
-  byte ownCommit;          /* entries that it committed itself in this term */
+  byte synced;           /* number of entries synced to disk */
+  byte ownCommit;          /* number of entries it committed as leader of this term */
   byte entry[MAX_LOG];   /* term of each entry */
-  byte members[MAX_LOG]; /* voters that the entry sets, 0 for none */
-  byte match[REPLICAS];  /* a leader's knowledge of the others */
+  byte members[MAX_LOG]; /* new voters as a bit mask; 0 for no change */
+  byte match[REPLICAS];  /* leader: number of entries each replica acknowledged */
 }
 
 Replica r[REPLICAS];
-byte leaderOf[MAX_TERM + 1];      /* id + 1 */
+byte leaderOf[MAX_TERM + 1];      /* id + 1 of the leader of each term; 0 for none */
 byte committed[MAX_LOG];          /* term of each committed entry */
 byte committedMembers[MAX_LOG];
 byte committedLength;
 byte crashes;
 bool wiped;
-byte gone;                         /* bits of ids that never come back */
+byte gone;                         /* bit mask of ids that never rejoin */
 
 inline votersOf(i, result) {
   result = ALL;
@@ -67,7 +70,7 @@
   od
 }
 
-/* Whether the bits in `set` hold a majority of the voters of replica i. */
+/* Whether the bit mask `set` contains a majority of the voters of replica i. */
 inline majority(i, set, result) {
   votersOf(i, voters);
   count = 0; size = 0; k = 0;
@@ -106,7 +109,7 @@
 inline checkLeader(i) {
   assert(leaderOf[r[i].term] == 0 || leaderOf[r[i].term] == i + 1);
   leaderOf[r[i].term] = i + 1;
-  /* A leader holds all that was committed. */
+  /* The log of a leader contains all committed entries. */
   k = 0;
   do
   :: k < committedLength ->
@@ -202,7 +205,7 @@
   r[i].match[j] = r[j].length
 }
 
-/* Commits up to `index` entries where a majority holds them. */
+/* Commits the first `index` entries if a majority has synced them. */
 inline commit(i, index) {
   set = 0; m = 0;
   do
@@ -282,8 +285,8 @@
 #endif
 }
 
-/* Voters change one at a time, after an entry of the own term is committed
- * and with no other change under way. */
+/* Voters change one at a time, only after the leader has committed an entry of
+ * its term and while no other change is uncommitted. */
 inline changeable(i, result) {
   result = r[i].ownCommit > 0;
   k = 0;
--- a/spec/verify.mjs
+++ b/spec/verify.mjs
@@ -1,5 +1,5 @@
-// Checks the specifications with Spin in exhaustive mode: each must hold as it
-// stands, and each fault that is put in must be caught. Needs spin and gcc.
+// Verifies the specifications exhaustively with Spin: each must hold without
+// faults, and each injected fault must be detected. Needs spin and gcc.
 import { spawn } from "node:child_process";
 import { mkdtempSync, rmSync } from "node:fs";
 import { cpus, tmpdir } from "node:os";
@@ -10,7 +10,7 @@
 const here = dirname(fileURLToPath(import.meta.url));
 const PARALLEL = Math.max(1, Math.min(4, cpus().length - 2));
 
-/** Bounds are given with each check, and printed. */
+/** The bounds that a check sets are printed with its result. */
 const CHECKS = [
   { spec: "quorum", defines: ["MAX_TERM=3", "MAX_LOG=2", "MAX_CRASHES=1"] },
   { spec: "quorum", defines: ["MAX_TERM=2", "MAX_LOG=2", "MAX_CRASHES=2"] },
