--- a/src/wire/gen/crowlever.ts
+++ b/src/wire/gen/crowlever.ts
@@ -28,8 +28,8 @@
 export const protobufFileName = "crowlever.proto";
 
 /**
- * Messages between the processes of crowlever: the quorum's replicas and the
- * agents inside the entries. Times are milliseconds, sizes are bytes.
+ * Messages between the processes of crowlever: replicas of the quorum, agents
+ * in the entries, and gateways. Times are in milliseconds, sizes in bytes.
  */
 
 export interface LogEntry {
@@ -37,7 +37,7 @@
   term: number;
   /** "command", "members" or "noop". */
   kind: string;
-  /** JSON text; its schema depends on the kind. */
+  /** JSON; the schema depends on `kind`. */
   body: string;
 }
 
@@ -104,7 +104,7 @@
   replicaId: string;
   vm: string;
   address: string;
-  /** It keeps no state over a restart, so it must never vote. */
+  /** Whether it loses its state on a restart; an observer never votes. */
   isObserver: boolean;
 }
 
@@ -129,12 +129,12 @@
   revision: number;
   sentMs: number;
   leaving: boolean;
-  /** JSON text of the entry's demand per client account, its in-flight count. */
+  /** JSON: the entry's demand by client account, and its requests in flight. */
   report: string;
 }
 
 export interface ClaimBegin {
-  /** Also names the attempt: an end counts only for the attempt that began it. */
+  /** Also identifies the attempt: only the attempt that began a claim can end it. */
   call: number;
   clientAccount: string;
   key: string;
@@ -149,7 +149,7 @@
   status: number;
   contentType: string;
   body: string;
-  /** The call of the claim\'s beginning. */
+  /** `call` of the ClaimBegin that began the claim. */
   attempt: number;
 }
 
@@ -175,23 +175,24 @@
 export interface ConfigUpdate {
   revision: number;
   /**
-   * A full state replaces the replica's; otherwise these are the changes since
-   * the revision that the agent reported or was last sent.
+   * Whether `resources` replaces the agent's whole configuration; otherwise it
+   * holds the changes since the revision that the agent reported or was last
+   * sent.
    */
   full: boolean;
-  /** JSON text: an array of resources, those deleted marked as such. */
+  /** JSON: an array of resources; deleted ones are marked. */
   resources: string;
 }
 
 export interface LiveUpdate {
   term: number;
   version: number;
-  /** JSON text: the live entries, the upstream states, shares of limits. */
+  /** JSON: the live entries, the states of upstreams and the shares of limits. */
   live: string;
 }
 
 export interface GrantUpdate {
-  /** JSON text: what control grants to this entry. */
+  /** JSON: the shares of limits that control grants to this entry. */
   grant: string;
 }
 
@@ -222,42 +223,45 @@
 }
 
 /**
- * One message of a session between a gateway and the leader; its types stand
- * in src/fleet/messages.ts.
+ * A message in a session between a gateway and the leader; src/fleet/messages.ts
+ * defines the types of its JSON.
  */
 export interface FleetMessage {
   /**
-   * JSON text; empty where the message is packed or tells loads alone. Beside
-   * the leader's loads it is what the fleet's streams do.
+   * JSON; empty if the message is in `packed`. In a message of the leader with
+   * `loads` it is the activity of the fleet's streams.
    */
   json: string;
-  /** JSON text, deflated: what is long and told to many. */
+  /**
+   * JSON compressed with raw DEFLATE; used for long messages, which the leader
+   * sends to many gateways.
+   */
   packed: Buffer;
   /**
-   * Numbers of the engines that the text tells of, in its order. They name
-   * engines in loads for as long as the session lasts.
+   * Numbers assigned to the engines in the JSON, in the same order. They
+   * identify engines in `loads` until the session ends.
    */
   engineNumbers: number[];
   loads: EngineLoads | undefined;
 }
 
-/** Work in flight by engine: three columns of the same length. */
+/** Load in flight by engine, as three columns of equal length. */
 export interface EngineLoads {
   engineNumbers: number[];
-  /** Tokens of requests on the engine. */
+  /** Tokens of the requests that the engine processes. */
   tokens: number[];
-  /** Requests that begin there. */
+  /** Requests that start there. */
   requests: number[];
 }
 
-/** A call that a control process passes on to the leader. */
+/** A call that a control process forwards to the leader. */
 export interface FleetCall {
-  /** JSON text. */
+  /** JSON. */
   json: string;
 }
 
 export interface FleetReply {
-  /** JSON text. */
+  /** JSON. */
   json: string;
 }
 
@@ -2471,7 +2475,10 @@
 
 export type PeerService = typeof PeerService;
 export const PeerService = {
-  /** One stream a sender and receiver; answers travel on the receiver's stream. */
+  /**
+   * One stream for each pair of sender and receiver; responses are sent on the
+   * receiver's own stream.
+   */
   deliver: {
     path: "/crowlever.v1.Peer/Deliver" as const,
     requestStream: true as const,
@@ -2481,7 +2488,10 @@
     responseSerialize: (value: PeerAck): Buffer => Buffer.from(PeerAck.encode(value).finish()),
     responseDeserialize: (value: Buffer): PeerAck => PeerAck.decode(value),
   },
-  /** A replica with a new data folder asks to become a learner. */
+  /**
+   * A replica with a new data folder requests to join the cluster as a learner
+   * or an observer.
+   */
   join: {
     path: "/crowlever.v1.Peer/Join" as const,
     requestStream: false as const,
@@ -2494,14 +2504,23 @@
 } as const;
 
 export interface PeerServer extends UntypedServiceImplementation {
-  /** One stream a sender and receiver; answers travel on the receiver's stream. */
+  /**
+   * One stream for each pair of sender and receiver; responses are sent on the
+   * receiver's own stream.
+   */
   deliver: handleClientStreamingCall<PeerMessage, PeerAck>;
-  /** A replica with a new data folder asks to become a learner. */
+  /**
+   * A replica with a new data folder requests to join the cluster as a learner
+   * or an observer.
+   */
   join: handleUnaryCall<JoinRequest, JoinResponse>;
 }
 
 export interface PeerClient extends Client {
-  /** One stream a sender and receiver; answers travel on the receiver's stream. */
+  /**
+   * One stream for each pair of sender and receiver; responses are sent on the
+   * receiver's own stream.
+   */
   deliver(callback: (error: ServiceError | null, response: PeerAck) => void): ClientWritableStream<PeerMessage>;
   deliver(
     metadata: Metadata,
@@ -2516,7 +2535,10 @@
     options: Partial<CallOptions>,
     callback: (error: ServiceError | null, response: PeerAck) => void,
   ): ClientWritableStream<PeerMessage>;
-  /** A replica with a new data folder asks to become a learner. */
+  /**
+   * A replica with a new data folder requests to join the cluster as a learner
+   * or an observer.
+   */
   join(request: JoinRequest, callback: (error: ServiceError | null, response: JoinResponse) => void): ClientUnaryCall;
   join(
     request: JoinRequest,
@@ -2568,7 +2590,10 @@
 
 export type FleetService = typeof FleetService;
 export const FleetService = {
-  /** A gateway's session: beats one way, configuration and engines the other. */
+  /**
+   * A gateway's session: the gateway sends heartbeats, the leader sends the
+   * configuration and the engines.
+   */
   session: {
     path: "/crowlever.v1.Fleet/Session" as const,
     requestStream: true as const,
@@ -2590,13 +2615,19 @@
 } as const;
 
 export interface FleetServer extends UntypedServiceImplementation {
-  /** A gateway's session: beats one way, configuration and engines the other. */
+  /**
+   * A gateway's session: the gateway sends heartbeats, the leader sends the
+   * configuration and the engines.
+   */
   session: handleBidiStreamingCall<FleetMessage, FleetMessage>;
   call: handleUnaryCall<FleetCall, FleetReply>;
 }
 
 export interface FleetClient extends Client {
-  /** A gateway's session: beats one way, configuration and engines the other. */
+  /**
+   * A gateway's session: the gateway sends heartbeats, the leader sends the
+   * configuration and the engines.
+   */
   session(): ClientDuplexStream<FleetMessage, FleetMessage>;
   session(options: Partial<CallOptions>): ClientDuplexStream<FleetMessage, FleetMessage>;
   session(metadata: Metadata, options?: Partial<CallOptions>): ClientDuplexStream<FleetMessage, FleetMessage>;
