--- a/src/clocks/create_listening_clock.ts
+++ b/src/clocks/create_listening_clock.ts
@@ -50,8 +50,8 @@
 export function createListeningClock(
   options: CreateListeningClockOptions,
 ): ListeningClock {
-  const { now, tickIntervalMs: lookIntervalMs } = options;
-  const maxStepMs = lookIntervalMs * MAX_COUNTED_INTERVALS;
+  const { now, tickIntervalMs } = options;
+  const maxStepMs = tickIntervalMs * MAX_COUNTED_INTERVALS;
   let { isListening = true } = options;
   let countedMs = 0;
   let lastLookMs = now();
--- a/src/fleet/create_engine_registry.ts
+++ b/src/fleet/create_engine_registry.ts
@@ -113,11 +113,12 @@
 export function createEngineRegistry(
   options: CreateEngineRegistryOptions,
 ): EngineRegistry {
-  const { now, log, silenceMs, isService = () => true } = options;
+  const { now, log, silenceMs: heartbeatTimeoutMs, isService = () => true } =
+    options;
   const beatClock = createHeartbeatClock({
     now,
     pauseAfterMs: options.quietMs ?? Infinity,
-    maxPauseMs: MAX_PAUSE_TIMEOUTS * silenceMs,
+    maxPauseMs: MAX_PAUSE_TIMEOUTS * heartbeatTimeoutMs,
   });
   let state: RegistryState = { engines: new Map() };
   let listeningSinceMs = beatClock.now();
@@ -240,10 +241,10 @@
     const nowMs = beatClock.now();
     const silent = removeUnresponsive(state, {
       nowMs,
-      heartbeatTimeoutMs: silenceMs,
+      heartbeatTimeoutMs,
     });
     remove(silent.lost, "silent");
-    const suspectedTimeoutMs = silenceMs * SUSPECTED_TIMEOUT_SHARE;
+    const suspectedTimeoutMs = heartbeatTimeoutMs * SUSPECTED_TIMEOUT_SHARE;
     const { lost } = removeUnresponsive(state, {
       nowMs,
       heartbeatTimeoutMs: suspectedTimeoutMs,
@@ -264,7 +265,7 @@
       listeningSinceMs = beatClock.now();
     },
     addRecorded(records, { newestRuns: recorded = new Map() } = {}) {
-      const heardMs = beatClock.now();
+      const lastHeartbeatMs = beatClock.now();
       const newestRuns = [...recorded].reduce(
         (runs, [name, run]) => recordIncarnation(runs, { name, ...run }),
         state.newestRuns ?? new Map(),
@@ -277,7 +278,7 @@
         if (isEarlierIncarnation(record, newestRuns)) continue;
         engines.set(record.engineId, {
           record,
-          lastHeartbeatMs: heardMs,
+          lastHeartbeatMs,
           sequence: -1,
         });
         queueChange(record);
@@ -303,7 +304,7 @@
       queueChange(record);
     },
     addSuspicions,
-    knowsAll: () => beatClock.now() - listeningSinceMs >= silenceMs,
+    knowsAll: () => beatClock.now() - listeningSinceMs >= heartbeatTimeoutMs,
     getRecords: () => [...state.engines.values()].map(({ record }) => record),
   };
 }
--- a/src/fleet/create_layer_controller.ts
+++ b/src/fleet/create_layer_controller.ts
@@ -11,10 +11,10 @@
   LayerRange,
 } from "../engines/index.ts";
 import {
+  type CoverDuringRedistribution,
   type LayerEngine,
   type LayerOrder,
   planLayerOrders,
-  type SpreadCover,
 } from "../layers/index.ts";
 import type { Logger } from "../logs/index.ts";
 import type { LayeredModel, Service } from "../routes/index.ts";
@@ -102,7 +102,9 @@
 const MAX_LEAVE_AGE_MS = 6_000;
 
 /** Ms that a gap waits, by whether other groups hold the layers too. */
-const REDISTRIBUTE_DELAYS_MS: Readonly<Record<SpreadCover, number>> = {
+const REDISTRIBUTE_DELAYS_MS: Readonly<
+  Record<CoverDuringRedistribution, number>
+> = {
   others: REDISTRIBUTE_DELAY_MS,
   lost: ONLY_COPY_REDISTRIBUTE_DELAY_MS,
   none: SHORT_REDISTRIBUTE_DELAY_MS,
@@ -178,7 +180,10 @@
     );
   }
 
-  function getRedistributeDelayMs(group: string, cover: SpreadCover): number {
+  function getRedistributeDelayMs(
+    group: string,
+    cover: CoverDuringRedistribution,
+  ): number {
     if (hasRecentLeave(group)) return SHORT_REDISTRIBUTE_DELAY_MS;
     const isRestartExpected = cover === "others" && hasRecentCrash(group);
     return isRestartExpected
@@ -211,9 +216,9 @@
     const isFirst = engines.every((engine) => engine.range === undefined);
     if (isFirst && now() - lastChangeMs < FIRST_PLAN_DELAY_MS) return;
     const gaps = new Map<string, number>();
-    const mayRespread = (
+    const mayRedistribute = (
       place: string,
-      { cover }: { cover: SpreadCover },
+      { cover }: { cover: CoverDuringRedistribution },
     ): boolean => {
       const key = `${service.name} ${place}`;
       const sinceMs = gapSinceMs.get(key) ?? now();
@@ -222,7 +227,7 @@
     };
     const orders = planLayerOrders(engines, {
       profile: model,
-      mayRedistribute: mayRespread,
+      mayRedistribute,
     });
     gapSinceMs = gaps;
     const retried = listUnanswered(members);
--- a/src/fleet/create_membership_manager.ts
+++ b/src/fleet/create_membership_manager.ts
@@ -53,7 +53,7 @@
   let isChanging = false;
 
   // A member that has never responded counts as unresponsive at once.
-  function isSilent(id: string): boolean {
+  function isUnresponsive(id: string): boolean {
     return now() - (responses.get(id)?.receivedMs ?? -Infinity) >
       responseTimeoutMs;
   }
@@ -73,7 +73,7 @@
       const state = replica.getState();
       const members = planVoterChange(state, {
         voters,
-        isUnresponsive: isSilent,
+        isUnresponsive,
       });
       if (!members) return;
       isChanging = true;
--- a/src/fleet/start_fleet_control.ts
+++ b/src/fleet/start_fleet_control.ts
@@ -151,7 +151,7 @@
   // Failure timeouts use the steady clock, which excludes suspensions of the machine;
   // only the lease has to expire during a suspension.
   const now = () => performance.now();
-  const { getLastWakeMs: getWokeMs } = createElapsedClock({
+  const { getLastWakeMs } = createElapsedClock({
     steadyNow: now,
     dayNow: Date.now,
   });
@@ -191,11 +191,11 @@
     getAddress: (id, { members }) =>
       members.find((one) => one.id === id)?.address ?? senderAddresses.get(id),
     onSender: (id, address) => void senderAddresses.set(id, address),
-    onLeadershipGained: onLead,
-    onLeadershipLost: onLeadLost,
+    onLeadershipGained,
+    onLeadershipLost,
     onFatal: options.onFatal,
     processStartedMs: settings.processStartedMs,
-    getLastWakeMs: getWokeMs,
+    getLastWakeMs,
     log,
     metrics,
     now,
@@ -367,7 +367,7 @@
     if (isLeader()) sessions.publishConfig(command.version);
   }
 
-  function onLead(): void {
+  function onLeadershipGained(): void {
     leadershipCount += 1;
     leadingSinceMs = now();
     listeningSinceMs = listening.now();
@@ -379,7 +379,7 @@
     recordedStateLoaded = loadRecordedState();
   }
 
-  function onLeadLost(): void {
+  function onLeadershipLost(): void {
     leadingSinceMs = Infinity;
     sessions.closeAll();
   }
--- a/src/gateway/choose_call_path.ts
+++ b/src/gateway/choose_call_path.ts
@@ -89,7 +89,7 @@
     place,
     gatewayCount: context.getGatewayCount(),
     maxUnreportedRequests: startedRequests,
-    hasIdleConnection: context.upstreamClient.hasIdleConnection,
+    hasIdleConnection: context.upstreamTransport.hasIdleConnection,
     expected: estimateWork(usable, { call, context, model, startedRequests }),
     drawRandomCost: startedRequests === Infinity ? context.random : undefined,
     excluded,
--- a/src/gateway/choose_call_path_test.ts
+++ b/src/gateway/choose_call_path_test.ts
@@ -55,7 +55,7 @@
     getGatewayCount: () => 1,
     listGatewayPlaces: () => ["p"],
     rates: { getRequestsPerS: () => undefined },
-    upstreamClient: { hasIdleConnection: () => true },
+    upstreamTransport: { hasIdleConnection: () => true },
   } as unknown as ServingContext;
   const backOff = (engineId: string, backOffMs: number) =>
     notices.record(engineId, { backOffMs, isLeaving: false });
--- a/src/gateway/create_active_config_test.ts
+++ b/src/gateway/create_active_config_test.ts
@@ -54,10 +54,10 @@
 });
 
 test("a change with another base is ignored, and the whole is requested", () => {
-  const { config, versions, getMismatches: getUnfit } = startActiveConfig();
+  const { config, versions, getMismatches } = startActiveConfig();
   config.applyFull(makeWhole(5));
   config.applyChange(makeChange(6, 8));
-  assert.is(getUnfit(), 1);
+  assert.is(getMismatches(), 1);
   assert.is(config.getVersion(), 5);
   assert.is(config.getBaseVersion(), -1);
   config.applyFull(makeWhole(8));
--- a/src/gateway/create_control_selector.ts
+++ b/src/gateway/create_control_selector.ts
@@ -95,9 +95,9 @@
     recordLeader(leaderAddress, { by } = {}) {
       namedLeaderAddress = leaderAddress;
       if (by === undefined) return;
-      const { count, retryAtMs: retryMs } = getFailures(by);
+      const { count, retryAtMs } = getFailures(by);
       const earliestMs = now() + REDIRECT_RETRY_WAIT_MS;
-      failures.set(by, { count, retryAtMs: Math.max(retryMs, earliestMs) });
+      failures.set(by, { count, retryAtMs: Math.max(retryAtMs, earliestMs) });
     },
     recordLost(address) {
       failures.set(address, { count: 1, retryAtMs: -Infinity });
--- a/src/gateway/create_engine_notices.ts
+++ b/src/gateway/create_engine_notices.ts
@@ -115,7 +115,7 @@
     random,
     log,
     metrics,
-    slowStart: slowStart = DEFAULT_SLOW_START,
+    slowStart = DEFAULT_SLOW_START,
   } = options;
   const backOffs = new Map<string, BackOff>();
   const leaving = new Set<string>();
@@ -193,11 +193,11 @@
       if (!backOff) return () => {};
       backOff.pending += 1;
       let isAnswered = false;
-      return ({ isAccepted: isTaken }) => {
+      return ({ isAccepted }) => {
         if (isAnswered) return;
         isAnswered = true;
         backOff.pending -= 1;
-        if (isTaken && !isRunning(backOff)) widenWindow(engineId, backOff);
+        if (isAccepted && !isRunning(backOff)) widenWindow(engineId, backOff);
       };
     },
     countBackedOff: () => [...backOffs.values()].filter(isRunning).length,
--- a/src/gateway/create_retry_after_refusals.ts
+++ b/src/gateway/create_retry_after_refusals.ts
@@ -34,7 +34,7 @@
  */
 export function createRetryAfterRefusals(
   { request, service }: Call,
-  { limitRetryAfterSchedule: limitReturns, log }: Pick<
+  { limitRetryAfterSchedule, log }: Pick<
     ServingContext,
     "limitRetryAfterSchedule" | "log"
   >,
@@ -51,7 +51,10 @@
   return {
     refuseForBackOff: (retryAfterMs) => refuse("resting", retryAfterMs),
     refuseForLimit(leftMs) {
-      const waitMs = Math.max(leftMs, limitReturns.getWaitMs(service));
+      const waitMs = Math.max(
+        leftMs,
+        limitRetryAfterSchedule.getWaitMs(service),
+      );
       refuse("limited", Math.ceil(waitMs));
     },
   };
--- a/src/gateway/handle_refusal.ts
+++ b/src/gateway/handle_refusal.ts
@@ -40,7 +40,7 @@
   context: ServingContext,
   { sent, head }: HandleRefusalOptions,
 ): string {
-  const { engines, notices, runMonitor: runWatch, now, log } = context;
+  const { engines, notices, runMonitor, now, log } = context;
   const { status, backOffMs, faultAddress } = head;
   const [first] = sent.path;
   const faulty = sent.path.find(({ address }) => address === faultAddress) ??
@@ -55,7 +55,7 @@
     engines.suspect(engineId, `refused with ${status}`);
   } else {
     engines.noteFull(engineId);
-    if (backOffMs === undefined) runWatch.checkEngine(faulty);
+    if (backOffMs === undefined) runMonitor.checkEngine(faulty);
   }
   if (backOffMs !== undefined) noteBackOff(call, context);
   log("callNotRun", {
--- a/src/gateway/serve_stream_call.ts
+++ b/src/gateway/serve_stream_call.ts
@@ -98,10 +98,10 @@
       now,
     });
     let stopMonitoring = () => {};
-    const roomWait = createCapacityWait(call, context);
+    const capacityWait = createCapacityWait(call, context);
     const permit = createRunPermit(call, context);
     const waits = createSendWaits({
-      capacityWait: roomWait,
+      capacityWait,
       relay,
       hasBegun: () => response.headersSent,
       onCheck: next,
@@ -113,7 +113,7 @@
       describe,
       onEnd(outcome) {
         stopMonitoring();
-        roomWait.end();
+        capacityWait.end();
         if (run) recordAbandonedRun(run);
         run?.abort(outcome);
         void endChecked.then(permit.noteRunEnd);
@@ -170,7 +170,7 @@
       }
       isAdmitted = true;
       const isNew = runCount === 0 && request.lastEventId === undefined;
-      if (isNew && !roomWait.isFirst()) return waits.waitForCapacity();
+      if (isNew && !capacityWait.isFirst()) return waits.waitForCapacity();
       const choice = chooseRunPath(call, context, {
         excluded,
         trialEngineId: answer.trialEngineId,
@@ -243,7 +243,7 @@
     }
 
     function send(path: readonly AddressedPart[], grant: SendGrant): void {
-      roomWait.end();
+      capacityWait.end();
       const { lastEventId } = relay.getProgress();
       log("callSent", {
         requestId,
@@ -432,8 +432,8 @@
       const wasUnresponsive = sent.wasAborted && how.type === "broken" &&
         how.reason !== REFUSES_CONNECTIONS;
       if (wasUnresponsive) return;
-      const { path, failedEngineId: lostEngineId, sentMs, firstEventMs } = sent;
-      const failedPart = path.find((part) => part.engineId === lostEngineId);
+      const { path, failedEngineId, sentMs, firstEventMs } = sent;
+      const failedPart = path.find((part) => part.engineId === failedEngineId);
       const upstream = failedPart ?? path[0];
       await detectUpstreamCrash(call, context, {
         upstream,
--- a/src/gateway/start_call_exchange.ts
+++ b/src/gateway/start_call_exchange.ts
@@ -50,7 +50,7 @@
     notices.getBackOffLeftMs(one) === 0 && !notices.isLeaving(one);
   const sentMs = context.now();
   const remainingMs = Math.floor(call.deadlineMs - sentMs);
-  return context.upstreamClient.start({
+  return context.upstreamTransport.start({
     engineId,
     address,
     method: request.method,
--- a/src/gateway/start_gateway.ts
+++ b/src/gateway/start_gateway.ts
@@ -151,11 +151,13 @@
     log,
     metrics,
   });
-  const exchanger = createUpstreamTransport(codec, { onNotice: handleNotice });
+  const upstreamTransport = createUpstreamTransport(codec, {
+    onNotice: handleNotice,
+  });
   const engines = createEngineTable({
     now,
     log,
-    onRemoved: exchanger.removeUpstream,
+    onRemoved: upstreamTransport.removeUpstream,
     notices,
   });
   const config = createActiveConfig({
@@ -171,7 +173,7 @@
     metrics,
   });
   const lostEngineReports = createLostEngineReports({ vm, place, listReady });
-  const pauses = createPauseTracker();
+  const pauseTracker = createPauseTracker();
   const endRate = createStreamEndRate({ now });
   const getGatewayCount = () => Math.max(1, listReady().length);
   const rates = createFleetRates({
@@ -194,7 +196,7 @@
     place,
     codec,
     engineControl: options.engineControl,
-    pauseTracker: pauses,
+    pauseTracker,
     runMonitor: createRunMonitor({
       engineControl: options.engineControl,
       onEngineFailed: reportFailedEngine,
@@ -215,7 +217,7 @@
     rateLimits,
     throttle: createBackOffThrottle({ now: steadyNow }),
     responseTimes: createResponseTimes(),
-    upstreamClient: exchanger,
+    upstreamTransport,
     livenessCheck: createLivenessCheck({ now }),
     quarantine,
     abandonedRuns: createAbandonedRuns({ now }),
@@ -310,7 +312,7 @@
     getVersion: config.getBaseVersion,
     takeSuspects: engines.takeSuspects,
     takeLostEngines: lostEngineReports.take,
-    takeSlowEngines: pauses.takeSlowEngines,
+    takeSlowEngines: pauseTracker.takeSlowEngines,
     listUnreportedLeaving: engines.listUnreportedLeaving,
     getLoads: engines.getLoads,
     getWantedLoans: budget.getWantedLoans,
@@ -377,7 +379,7 @@
     await link[Symbol.asyncDispose]();
     server.server.closeAllConnections();
     await server.close();
-    await exchanger[Symbol.asyncDispose]();
+    await upstreamTransport[Symbol.asyncDispose]();
   }
 
   return {
--- a/src/gateway/types.ts
+++ b/src/gateway/types.ts
@@ -61,7 +61,7 @@
   readonly throttle: BackOffThrottle;
   /** Typical response times. */
   readonly responseTimes: ResponseTimes;
-  readonly upstreamClient: UpstreamTransport;
+  readonly upstreamTransport: UpstreamTransport;
   readonly livenessCheck: LivenessCheck;
   readonly quarantine: Quarantine;
   readonly abandonedRuns: AbandonedRuns;
--- a/standins/start_layer_engine.ts
+++ b/standins/start_layer_engine.ts
@@ -143,7 +143,7 @@
     service,
     place,
     card,
-    heartbeatPeriodMs: beatIntervalMs = 200,
+    heartbeatPeriodMs = 200,
     eventIntervalMs = 5,
     events = 20,
   } = options;
@@ -392,7 +392,7 @@
   async function sendHeartbeats(): Promise<void> {
     while (!closed) {
       if (!isDown) await sendNextHeartbeat();
-      await sleep(beatIntervalMs);
+      await sleep(heartbeatPeriodMs);
     }
   }
   const heartbeats = sendHeartbeats();
--- a/test/leader_change_test.ts
+++ b/test/leader_change_test.ts
@@ -18,11 +18,10 @@
 const VMS = Array.from({ length: GATEWAYS }, (_, at) => `g${at}`);
 
 function knowsAll(
-  { receivedGateways: toldGateways, receivedRequestCounts: toldRequests }:
-    TestSession,
+  { receivedGateways, receivedRequestCounts }: TestSession,
 ): boolean {
-  return toldGateways.at(-1)?.length === GATEWAYS &&
-    toldRequests.at(-1) === GATEWAYS;
+  return receivedGateways.at(-1)?.length === GATEWAYS &&
+    receivedRequestCounts.at(-1) === GATEWAYS;
 }
 
 // Guards against a new leader that sends totals before all gateways have reconnected:
@@ -39,12 +38,12 @@
   );
   for (
     const {
-      receivedGateways: toldGateways,
-      receivedRequestCounts: toldRequests,
+      receivedGateways,
+      receivedRequestCounts,
     } of gateways
   ) {
-    toldGateways.length = 0;
-    toldRequests.length = 0;
+    receivedGateways.length = 0;
+    receivedRequestCounts.length = 0;
   }
   await fleet.stopLeader();
   await until(
@@ -56,20 +55,20 @@
     "all gateways have reconnected and know all requests",
     () =>
       gateways.every(({ welcomes }) => welcomes > 1) &&
-      gateways.every(({ receivedRequestCounts: toldRequests }) =>
-        toldRequests.at(-1) === GATEWAYS + 1
+      gateways.every(({ receivedRequestCounts }) =>
+        receivedRequestCounts.at(-1) === GATEWAYS + 1
       ),
   );
   assert.equal(
-    gateways.map(({ receivedGateways: toldGateways }) =>
-      Math.min(...toldGateways.map((vms) => vms.length))
+    gateways.map(({ receivedGateways }) =>
+      Math.min(...receivedGateways.map((vms) => vms.length))
     ).filter((fewest) => fewest < GATEWAYS),
     [],
   );
   assert.is(Math.min(...started.receivedGateways.map((vms) => vms.length)), 21);
   const leastRequests = gateways.map((
-    { receivedRequestCounts: toldRequests },
-  ) => Math.min(...toldRequests));
+    { receivedRequestCounts },
+  ) => Math.min(...receivedRequestCounts));
   assert.is(Math.min(...leastRequests), GATEWAYS + 1);
 });
 
@@ -83,8 +82,8 @@
   const [departed, ...others] = gateways;
   await fleet.stopLeader();
   await departed.link[Symbol.asyncDispose]();
-  const hasRemoved = ({ receivedGateways: toldGateways }: TestSession) =>
-    toldGateways.at(-1)?.includes(departed.vm) === false;
+  const hasRemoved = ({ receivedGateways }: TestSession) =>
+    receivedGateways.at(-1)?.includes(departed.vm) === false;
   await until(
     "the other gateways have removed it",
     () => others.every(hasRemoved),
--- a/test/stalled_leader_test.ts
+++ b/test/stalled_leader_test.ts
@@ -39,8 +39,8 @@
   await until(
     "all gateways know the requests of all",
     () =>
-      gateways.every(({ receivedRequestCounts: toldRequests }) =>
-        toldRequests.at(-1) === 3
+      gateways.every(({ receivedRequestCounts }) =>
+        receivedRequestCounts.at(-1) === 3
       ),
   );
   for (let stall = 0; stall < 3; stall++) {
@@ -50,7 +50,7 @@
   assert.equal(lost, []);
   assert.equal(gateways.map(({ welcomes }) => welcomes), [1, 1, 1]);
   assert.equal(
-    gateways.flatMap(({ removedIds: goneEngines }) => goneEngines),
+    gateways.flatMap(({ removedIds }) => removedIds),
     [],
   );
 });
--- a/test/support/start_session_fleet.ts
+++ b/test/support/start_session_fleet.ts
@@ -122,7 +122,7 @@
 
   function open(
     vm: string,
-    { reconnectDelayMs: returnMs = 0 }: OpenSessionOptions = {},
+    { reconnectDelayMs = 0 }: OpenSessionOptions = {},
   ) {
     const gateways = createGatewayList();
     const session: Omit<TestSession, "link"> = {
@@ -144,7 +144,7 @@
     const link = openLink({
       vm,
       getSeedAddresses: () => seeds.map((seed) => seed.peerAddress),
-      getGatewayCount: () => returnMs / RECONNECT_SPREAD_MS,
+      getGatewayCount: () => reconnectDelayMs / RECONNECT_SPREAD_MS,
       getLoads: () => ({ e0: { tokens: 100, requests: 1 } }),
       onWelcome: () => void (session.welcomes += 1),
       onMessage: record,
